--- a/acacia-core/src/main/java/org/acaciaport/decision/Admission.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Admission.java
@@ -19,12 +19,12 @@
         this.draft = draft;
     }
 
-    void accept(Event.Submitted submitted) {
+    void admit(Event.Submitted submitted) {
         Job job = Job.accepted(submitted.request(), draft.takeSequence());
-        accept(submitted.mayHaveRun() ? job.withPerhaps() : job);
+        admit(submitted.mayHaveRun() ? job.withPerhaps() : job);
     }
 
-    private void accept(Job job) {
+    private void admit(Job job) {
         Request request = job.request();
         if (draft.job(request.id()) != null) {
             return;
@@ -56,7 +56,7 @@
     /** Takes up a request where an earlier leader left it. */
     void recover(Event.Recovered recovered) {
         if (recovered.intent().isEmpty()) {
-            accept(unfinished(recovered));
+            admit(unfinished(recovered));
             return;
         }
         Attempt intent = recovered.intent().get();
@@ -73,7 +73,7 @@
             return;
         }
         draft.note(PART, job, "recovered attempt=" + intent.number() + " why=an earlier leader may have started it");
-        new Starts(draft).resumeFollowing(job, intent);
+        new Starter(draft).resumeTracking(job, intent);
     }
 
     /** Without an intent on the log, only work that needs none may have started. */
@@ -82,11 +82,11 @@
         if (recovered.checkpointed()) {
             return job.withStart().withCheckpoint(true);
         }
-        return draft.rules().recordsIntent(job.profile()) ? job : job.withPerhaps();
+        return draft.rules().requiresIntent(job.profile()) ? job : job.withPerhaps();
     }
 
     /** Answers waiting requests that the present configuration can never run. */
-    void recheck() {
+    void rejectInfeasible() {
         for (Job job : draft.jobs().values()) {
             if (job.phase() instanceof Phase.Queued && !canEverRun(job)) {
                 refuse(job, neverReason(job.profile()));
@@ -114,7 +114,7 @@
     private int fitting(Job job, Iterable<String> targets, int enough) {
         int count = 0;
         for (String id : targets) {
-            count += fitsEmpty(draft.fleet().target(id), job) ? 1 : 0;
+            count += fitsWhenEmpty(draft.fleet().target(id), job) ? 1 : 0;
             if (count >= enough) {
                 break;
             }
@@ -123,14 +123,14 @@
     }
 
     /** Returns whether a member of {@code job} fits on {@code target} when no other work runs there. */
-    static boolean fitsEmpty(TargetState target, Job job) {
+    static boolean fitsWhenEmpty(TargetState target, Job job) {
         int units = job.profile().unitsOn(target.target());
         int kept = job.profile().revocable() ? 0 : target.ownedByOthers(job.account());
         return !target.leaving() && target.capacity() - kept >= units;
     }
 
     /** Returns whether a member of {@code job} fits on {@code target} beside everything that other accounts own. */
-    static boolean fitsBesideOwners(TargetState target, Job job) {
+    static boolean fitsBesideGuarantees(TargetState target, Job job) {
         return target.capacity() - target.ownedByOthers(job.account())
                 >= job.profile().unitsOn(target.target());
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
@@ -18,12 +18,12 @@
     }
 
     /** Claims places within the account's own share; whoever borrows them is taken off within the reclaim limit. */
-    void begin(Job job, List<Member> members) {
+    void claimOwned(Job job, List<Member> members) {
         promise(job, members, false, draft.now() + draft.policy().reclaimMillis());
     }
 
     /** Sets places aside for a large job; irrevocable work on them runs to its end first. */
-    void setAside(Job job, List<Member> members, long deadline) {
+    void beginDrain(Job job, List<Member> members, long deadline) {
         draft.setDrain(Optional.of(job.id()));
         promise(job, members, true, deadline);
     }
@@ -60,7 +60,7 @@
             return;
         }
         if (!claiming.drain() || clearable(job, claiming)) {
-            new Revoker(draft).clearFor(job, claiming.attempt(), claiming.drain());
+            new Revoker(draft).preemptFor(job, claiming.attempt(), claiming.drain());
         }
     }
 
@@ -81,7 +81,7 @@
 
     private void convert(Job job, Phase.Claiming claiming) {
         release(job, claiming);
-        new Starts(draft).begin(job, claiming.attempt());
+        new Starter(draft).begin(job, claiming.attempt());
     }
 
     /** Returns why a promised place cannot be used any more, or null. */
@@ -100,20 +100,22 @@
 
     private boolean fits(Job job, Phase.Claiming claiming, Member member, TargetState target) {
         if (claiming.drain()) {
-            return claiming.bounded() ? Admission.fitsBesideOwners(target, job) : Admission.fitsEmpty(target, job);
+            return claiming.bounded()
+                    ? Admission.fitsBesideGuarantees(target, job)
+                    : Admission.fitsWhenEmpty(target, job);
         }
         boolean owns = target.owned().getOrDefault(job.account(), 0) >= member.units();
-        return owns && leavesOwned(job, claiming, member, target);
+        return owns && preservesGuarantees(job, claiming, member, target);
     }
 
     /** Asks the rule as if the job's own claim on the target did not exist. */
-    private boolean leavesOwned(Job job, Phase.Claiming claiming, Member member, TargetState target) {
+    private boolean preservesGuarantees(Job job, Phase.Claiming claiming, Member member, TargetState target) {
         if (job.profile().revocable()) {
             return true;
         }
         Load others =
                 claiming.bounded() ? target.load().withClaim(job.account(), -member.units(), false) : target.load();
-        return draft.rules().leavesOwned(target.with(others), job.account(), member.units());
+        return draft.rules().preservesGuarantees(target.with(others), job.account(), member.units());
     }
 
     /** Claims within shares come first; places set aside count only what all other claims leave. */
@@ -123,7 +125,7 @@
             int idle = target.capacity() - target.load().used();
             int others =
                     claiming.drain() ? target.load().claimed() - member.units() : olderClaims(job, claiming, target);
-            boolean kept = leavesOwned(job, claiming, member, target);
+            boolean kept = preservesGuarantees(job, claiming, member, target);
             if (idle - others < member.units() || !kept) {
                 return false;
             }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
@@ -17,7 +17,7 @@
     }
 
     /** Handles every timer that is due. */
-    void run() {
+    void runDueTimers() {
         for (Timer timer = draft.takeDueTimer(); timer != null; timer = draft.takeDueTimer()) {
             due(timer);
         }
@@ -25,7 +25,7 @@
 
     private void due(Timer timer) {
         if (timer.kind() == Timer.Kind.PROBE) {
-            new Probation(draft).probe(timer.subject());
+            new Probation(draft).allowProbe(timer.subject());
             return;
         }
         if (timer.kind() == Timer.Kind.RAMP) {
@@ -40,7 +40,7 @@
             case QUEUE -> queueDeadline(job);
             case RETRY -> retry(job);
             case PATIENCE -> draft.wantDispatch();
-            case STEP -> new Starts(draft).overdue(job, timer.attempt());
+            case STEP -> new Starter(draft).handleTimeout(job, timer.attempt());
             case RUN -> runDeadline(job, timer.attempt());
             case REVOCATION -> revocationDeadline(job, timer.attempt());
             case PROBE, RAMP -> {}
@@ -68,7 +68,7 @@
             case Phase.Committing committing -> {
                 draft.command(
                         new Command.RecordVoid(job.id(), committing.attempt().number(), false));
-                new Starts(draft).release(job, committing.attempt());
+                new Starter(draft).releasePlaces(job, committing.attempt());
                 draft.finish(job, notRun);
             }
             case Phase.Running running -> again(job);
@@ -104,7 +104,7 @@
         if (job.phase() instanceof Phase.Running running
                 && running.attempt().number() == attempt
                 && running.revocation().isPresent()) {
-            new Revoker(draft).overdue(job, running);
+            new Revoker(draft).escalate(job, running);
         }
     }
 
@@ -123,10 +123,10 @@
                 new Claims(draft).release(asked, claiming);
                 draft.finish(asked, new Outcome.Cancelled(asked.everStarted()));
             }
-            case Phase.Reserving reserving -> new Starts(draft).giveUp(asked, reserving.attempt(), "cancelled");
+            case Phase.Reserving reserving -> new Starter(draft).abandon(asked, reserving.attempt(), "cancelled");
             case Phase.Running running ->
                 new Revoker(draft).stop(asked, Revocation.Purpose.CANCEL, "cancelled by the caller");
-            case Phase.Parked parked -> new Parking(draft).cancel(asked, parked);
+            case Phase.Parked parked -> new PausedJobs(draft).cancel(asked, parked);
             case Phase.Committing committing -> {}
             case Phase.HandingOver handingOver -> {}
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Decider.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Decider.java
@@ -33,7 +33,7 @@
      */
     public Decision decide(CellState state, Event event, long now) {
         Draft draft = new Draft(state, policy, rules, now);
-        new Deadlines(draft).run();
+        new Deadlines(draft).runDueTimers();
         apply(draft, event);
         new Dispatcher(draft).run();
         return draft.decision();
@@ -42,23 +42,24 @@
     private static void apply(Draft draft, Event event) {
         switch (event) {
             case Event.Tick tick -> {}
-            case Event.Submitted submitted -> new Admission(draft).accept(submitted);
+            case Event.Submitted submitted -> new Admission(draft).admit(submitted);
             case Event.Recovered recovered -> new Admission(draft).recover(recovered);
             case Event.CancelAsked cancel -> new Deadlines(draft).cancel(cancel.request());
-            case Event.HandOverAnswered answer -> new Membership(draft).handOverAnswered(answer);
-            case Event.Configured configured -> new Membership(draft).configured(configured.active());
+            case Event.HandOverAnswered answer -> new Membership(draft).handleHandOverAnswer(answer);
+            case Event.Configured configured -> new Membership(draft).applyConfiguration(configured.active());
             case Event.PermitRenewed permit -> renew(draft, permit.until());
             case Event.LogChanged log -> {
                 draft.setGate(draft.gate().withLog(log.available()));
                 draft.wantDispatch();
             }
-            case Event.LeavingListed leaving -> new Membership(draft).leavingListed(leaving.targets());
-            case Event.TargetReachable reachable -> new Membership(draft).reachable(reachable.target());
-            case Event.TargetLost lost -> new Membership(draft).lost(lost.target());
-            case Event.ReserveAnswered answer -> new Starts(draft).reserveAnswered(answer);
-            case Event.IntentAnswered answer -> new Starts(draft).intentAnswered(answer);
+            case Event.LeavingListed leaving -> new Membership(draft).applyLeavingList(leaving.targets());
+            case Event.TargetReachable reachable -> new Membership(draft).markReachable(reachable.target());
+            case Event.TargetLost lost -> new Membership(draft).markLost(lost.target());
+            case Event.ReserveAnswered answer -> new Starter(draft).handleReserveAnswer(answer);
+            case Event.IntentAnswered answer -> new Starter(draft).handleIntentAnswer(answer);
             case Event.MemberChanged change ->
-                new Progress(draft).memberChanged(change.request(), change.attempt(), change.member(), change.state());
+                new RunTracker(draft)
+                        .handleMemberChange(change.request(), change.attempt(), change.member(), change.state());
         }
     }
 
--- a/acacia-core/src/main/java/org/acaciaport/decision/Dispatcher.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Dispatcher.java
@@ -39,10 +39,10 @@
                 return;
             }
             for (String parked : draft.parked()) {
-                new Parking(draft).resume(draft.job(parked));
+                new PausedJobs(draft).resume(draft.job(parked));
             }
             placeAll();
-            new Drains(draft).consider();
+            new DrainPlanner(draft).planNext();
         }
     }
 
@@ -87,12 +87,12 @@
 
     private List<String> accountsByUse() {
         List<String> accounts = new ArrayList<>(draft.queues().accounts());
-        accounts.sort(Comparator.comparingLong(this::turn).thenComparing(Comparator.naturalOrder()));
+        accounts.sort(Comparator.comparingLong(this::accountRank).thenComparing(Comparator.naturalOrder()));
         return accounts;
     }
 
-    private long turn(String account) {
-        return draft.rules().turn(draft.unitsOf(account), heads(account).getFirst());
+    private long accountRank(String account) {
+        return draft.rules().accountRank(draft.unitsOf(account), heads(account).getFirst());
     }
 
     private boolean placeOne(String account) {
@@ -114,7 +114,7 @@
         for (String id : draft.queues().heads(account)) {
             heads.add(draft.job(id));
         }
-        heads.sort(Comparator.comparingLong((Job j) -> draft.rules().urgency(j, draft.now(), draft.policy()))
+        heads.sort(Comparator.comparingLong((Job j) -> draft.rules().effectivePriority(j, draft.now(), draft.policy()))
                 .reversed()
                 .thenComparingLong(Job::sequence));
         return heads;
@@ -131,22 +131,22 @@
 
     /** Work whose intent must be recorded cannot start while the log is unavailable. */
     private boolean startable(Job job) {
-        return draft.gate().logAvailable() || !draft.rules().recordsIntent(job.profile());
+        return draft.gate().logAvailable() || !draft.rules().requiresIntent(job.profile());
     }
 
     private boolean place(Job job) {
         Placement placement = new Placement(draft, job);
-        Optional<List<Member>> free = placement.freeNow();
+        Optional<List<Member>> free = placement.findFree();
         if (free.isPresent()) {
             start(job, free.get(), "free", "-");
             return true;
         }
-        Optional<List<Member>> claim = draft.rules().claims() ? placement.byClaim() : Optional.empty();
+        Optional<List<Member>> claim = draft.rules().claimsEnabled() ? placement.findClaimable() : Optional.empty();
         if (claim.isPresent()) {
-            new Claims(draft).begin(job, claim.get());
+            new Claims(draft).claimOwned(job, claim.get());
             return true;
         }
-        List<Member> lent = new Drains(draft).lend(job);
+        List<Member> lent = new DrainPlanner(draft).findBackfill(job);
         if (!lent.isEmpty()) {
             start(job, lent, "lent", "free places");
             return true;
@@ -169,6 +169,6 @@
                 "attempt=" + attempt.number() + " targets="
                         + members.stream().map(Member::target).toList() + " units="
                         + members.getFirst().units() + " why=" + why + " rejected=" + rejected);
-        new Starts(draft).begin(job, attempt);
+        new Starter(draft).begin(job, attempt);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Drains.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
@@ -15,18 +15,18 @@
  *
  * <p>Confined to one decision.
  */
-final class Drains {
+final class DrainPlanner {
     private static final String PART = "drain";
 
     private final Draft draft;
 
-    Drains(Draft draft) {
+    DrainPlanner(Draft draft) {
         this.draft = draft;
     }
 
     /** Gives the next large job its turn if none has it. */
-    void consider() {
-        if (!draft.rules().setsAside() || draft.drain().isPresent()) {
+    void planNext() {
+        if (!draft.rules().drainsForLargeJobs() || draft.drain().isPresent()) {
             return;
         }
         Job oldest = null;
@@ -47,21 +47,21 @@
      * Returns places that are set aside but idle, which {@code job} may use without delaying their owner. None are lent
      * once the owner waits for nothing but revocable work.
      */
-    List<Member> lend(Job job) {
+    List<Member> findBackfill(Job job) {
         Job owner = draft.drain().map(draft::job).orElse(null);
         if (owner == null || job.profile().gang() || !(owner.phase() instanceof Phase.Claiming claiming)) {
             return List.of();
         }
         boolean ownerWaits = !new Claims(draft).clearable(owner, claiming);
-        if (!draft.rules().lends(ownerWaits, endsBefore(job, claiming.deadline()))) {
+        if (!draft.rules().mayBackfill(ownerWaits, endsInTime(job, claiming.deadline()))) {
             return List.of();
         }
         for (Member member : claiming.attempt().members()) {
             TargetState target = draft.fleet().target(member.target());
             int units = job.profile().unitsOn(target.target());
             int idle = target.free() + member.units();
-            boolean fits = job.profile().revocable() || draft.rules().leavesOwned(target, job.account(), units);
-            boolean allowed = draft.rules().accepts(target)
+            boolean fits = job.profile().revocable() || draft.rules().preservesGuarantees(target, job.account(), units);
+            boolean allowed = draft.rules().acceptsWork(target)
                     && !job.failedOn().contains(target.id())
                     && target.health().suspects().isEmpty();
             if (fits && allowed && idle >= units) {
@@ -72,7 +72,7 @@
     }
 
     /** Trusts observed run times, and for irrevocable work the run limit besides. */
-    private boolean endsBefore(Job job, long deadline) {
+    private boolean endsInTime(Job job, long deadline) {
         OptionalLong high = draft.runTimes(job.profile().name()).high();
         boolean likely = high.isEmpty() || draft.now() + high.getAsLong() <= deadline;
         return job.profile().revocable()
@@ -112,8 +112,8 @@
                 job,
                 "places set aside clearAt=" + best.clearAt() + " waited="
                         + (draft.now() - job.request().acceptedAt()));
-        List<Member> members = new Placement(draft, job).members(best.targets());
-        new Claims(draft).setAside(job, members, deadline);
+        List<Member> members = new Placement(draft, job).membersOn(best.targets());
+        new Claims(draft).beginDrain(job, members, deadline);
     }
 
     /** Targets for one large job and the time by which their irrevocable work has ended. */
@@ -133,14 +133,14 @@
         List<Clearing> clearings = new ArrayList<>();
         for (String id : targets) {
             TargetState target = draft.fleet().target(id);
-            if (target.trusted() && Admission.fitsEmpty(target, job)) {
+            if (target.trusted() && Admission.fitsWhenEmpty(target, job)) {
                 clearings.add(new Clearing(target, clearAt(target, job)));
             }
         }
         if (clearings.size() < needed) {
             return null;
         }
-        clearings.sort(Comparator.comparing((Clearing c) -> !Admission.fitsBesideOwners(c.target(), job))
+        clearings.sort(Comparator.comparing((Clearing c) -> !Admission.fitsBesideGuarantees(c.target(), job))
                 .thenComparingLong(Clearing::at)
                 .thenComparingInt(c -> -c.target().free())
                 .thenComparing(c -> c.target().id()));
@@ -150,7 +150,7 @@
                 .mapToLong(Clearing::at)
                 .max()
                 .orElse(draft.now());
-        boolean beside = chosen.stream().allMatch(t -> Admission.fitsBesideOwners(t, job));
+        boolean beside = chosen.stream().allMatch(t -> Admission.fitsBesideGuarantees(t, job));
         return new Plan(chosen, clearAt, beside);
     }
 
@@ -163,7 +163,7 @@
             Job job = draft.job(id);
             boolean stays = job != null
                     && !(job.phase() instanceof Phase.Claiming)
-                    && (!job.profile().revocable() || Victims.spares(job, owner));
+                    && (!job.profile().revocable() || Victims.isSpared(job, owner));
             if (stays) {
                 latest = Math.max(latest, endBy(job));
             }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
@@ -32,7 +32,7 @@
     }
 
     /** Returns how many checks were made. */
-    public long checks() {
+    public long checkCount() {
         return checks;
     }
 
--- a/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
@@ -25,7 +25,7 @@
     }
 
     /** Applies a newer revision; an older one or the same changes nothing. */
-    void configured(ActiveConfiguration next) {
+    void applyConfiguration(ActiveConfiguration next) {
         ActiveConfiguration previous = draft.active();
         if (!draft.rules().replaces(next, previous)) {
             draft.note(PART, "ignored revision=" + next.revision() + " in force=" + previous.revision());
@@ -36,7 +36,7 @@
         draft.setActive(next);
         if (!next.configuration().equals(previous.configuration())) {
             replaceTargets(next.configuration().targetsOf(here));
-            new Admission(draft).recheck();
+            new Admission(draft).rejectInfeasible();
         }
         draft.note(PART, "revision=" + next.revision() + " in force, in service=" + next.inService(here));
         if (was && !next.inService(here)) {
@@ -74,11 +74,11 @@
             fleet = empty ? fleet.without(id) : fleet.with(fleet.target(id).withLeaving(true));
         }
         draft.setFleet(fleet.withRacks());
-        reassign();
+        reassignGuarantees();
     }
 
     /** Marks exactly the targets in {@code listed} as leaving, and takes off what may be taken off them. */
-    void leavingListed(Set<String> listed) {
+    void applyLeavingList(Set<String> listed) {
         if (!listed.equals(draft.fleet().listed())) {
             draft.noteListed(listed);
         }
@@ -91,8 +91,8 @@
                 .collect(Collectors.toSet());
         boolean changed = false;
         for (TargetState target : draft.fleet().targets().values()) {
-            boolean leaving =
-                    draft.rules().heedsList() && listed.contains(target.id()) || !configured.contains(target.id());
+            boolean leaving = draft.rules().appliesLeavingList() && listed.contains(target.id())
+                    || !configured.contains(target.id());
             if (leaving == target.leaving()) {
                 continue;
             }
@@ -104,22 +104,22 @@
             }
         }
         if (changed) {
-            reassign();
+            reassignGuarantees();
         }
     }
 
-    void reachable(String id) {
+    void markReachable(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null || target.reachable()) {
             return;
         }
         draft.changeTarget(id, t -> t.withReachable(true));
         draft.note(PART, "target=" + id + " reachable");
-        reassignOwed();
+        reassignOwedSlices();
     }
 
     /** Ends all work on a target whose lease has lapsed. */
-    void lost(String id) {
+    void markLost(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null || !target.reachable()) {
             return;
@@ -128,13 +128,13 @@
         draft.note(PART, "target=" + id + " lost why=its lease lapsed");
         for (String job : target.load().parked()) {
             if (draft.job(job).phase() instanceof Phase.Parked parked) {
-                new Parking(draft).evict(draft.job(job), parked, "target " + id + " was lost");
+                new PausedJobs(draft).evict(draft.job(job), parked, "target " + id + " was lost");
             }
         }
         for (String job : target.load().jobs()) {
             loseMembers(draft.job(job), id);
         }
-        reassign();
+        reassignGuarantees();
         draft.wantDispatch();
     }
 
@@ -142,12 +142,12 @@
         switch (job.phase()) {
             case Phase.Claiming claiming -> new Claims(draft).abandon(job, claiming, "target " + target + " was lost");
             case Phase.Reserving reserving ->
-                new Starts(draft).giveUp(job, reserving.attempt(), "target " + target + " was lost");
+                new Starter(draft).abandon(job, reserving.attempt(), "target " + target + " was lost");
             case Phase.Running running -> {
                 for (Member member : running.attempt().members()) {
                     if (member.target().equals(target)) {
-                        new Progress(draft)
-                                .memberChanged(
+                        new RunTracker(draft)
+                                .handleMemberChange(
                                         job.id(),
                                         running.attempt().number(),
                                         member.index(),
@@ -163,15 +163,15 @@
     }
 
     /** Assigns what is still owed, now that another target is in use. */
-    void reassignOwed() {
+    void reassignOwedSlices() {
         if (draft.fleet().shares().owed() > 0) {
-            reassign();
+            reassignGuarantees();
         }
         draft.wantDispatch();
     }
 
     /** Assigns the guarantees anew wherever the present targets no longer carry them. */
-    void reassign() {
+    void reassignGuarantees() {
         List<Shares.Place> places = new ArrayList<>();
         for (TargetState target : new TreeMap<>(draft.fleet().targets()).values()) {
             if (target.trusted()) {
@@ -201,10 +201,10 @@
                 case Phase.Claiming claiming ->
                     new Claims(draft).abandon(job, claiming, "the data centre goes out of service");
                 case Phase.Reserving reserving ->
-                    new Starts(draft).giveUp(job, reserving.attempt(), "the data centre goes out of service");
+                    new Starter(draft).abandon(job, reserving.attempt(), "the data centre goes out of service");
                 case Phase.Running running -> depart(job, running);
                 case Phase.Parked parked ->
-                    new Parking(draft).evict(job, parked, "the data centre goes out of service");
+                    new PausedJobs(draft).evict(job, parked, "the data centre goes out of service");
                 case Phase.Queued queued -> {}
                 case Phase.Committing committing -> {}
                 case Phase.HandingOver handingOver -> {}
@@ -218,7 +218,7 @@
             Job job = draft.job(id);
             switch (job.phase()) {
                 case Phase.Claiming claiming -> new Claims(draft).abandon(job, claiming, "target leaves");
-                case Phase.Reserving reserving -> new Starts(draft).giveUp(job, reserving.attempt(), "target leaves");
+                case Phase.Reserving reserving -> new Starter(draft).abandon(job, reserving.attempt(), "target leaves");
                 case Phase.Running running -> depart(job, running);
                 case Phase.Queued queued -> {}
                 case Phase.Committing committing -> {}
@@ -228,14 +228,14 @@
         }
         for (String id : state.load().parked()) {
             if (draft.job(id).phase() instanceof Phase.Parked parked) {
-                new Parking(draft).evict(draft.job(id), parked, "target leaves");
+                new PausedJobs(draft).evict(draft.job(id), parked, "target leaves");
             }
         }
     }
 
     private void depart(Job job, Phase.Running running) {
         if (job.profile().revocable() && running.revocation().isEmpty()) {
-            new Revoker(draft).gently(job, Revocation.Purpose.DEPARTURE, "out of service");
+            new Revoker(draft).revoke(job, Revocation.Purpose.DEPARTURE, "out of service");
         }
     }
 
@@ -256,7 +256,7 @@
         }
     }
 
-    void handOverAnswered(Event.HandOverAnswered answer) {
+    void handleHandOverAnswer(Event.HandOverAnswered answer) {
         Job job = draft.job(answer.request());
         if (job == null || !(job.phase() instanceof Phase.HandingOver)) {
             return;
--- a/acacia-core/src/main/java/org/acaciaport/decision/Parking.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/PausedJobs.java
@@ -10,12 +10,12 @@
  *
  * <p>Confined to one decision. Paused work has exactly one member.
  */
-final class Parking {
+final class PausedJobs {
     private static final String PART = "resume";
 
     private final Draft draft;
 
-    Parking(Draft draft) {
+    PausedJobs(Draft draft) {
         this.draft = draft;
     }
 
@@ -27,7 +27,7 @@
         Member only = parked.attempt().members().getFirst();
         TargetState target = draft.fleet().target(only.target());
         boolean may = draft.rules().mayStart(draft.state(), draft.gate(), draft.now());
-        if (!may || !draft.rules().accepts(target) || target.free() < only.units()) {
+        if (!may || !draft.rules().acceptsWork(target) || target.free() < only.units()) {
             return;
         }
         draft.unpark(job, only.target());
--- a/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
@@ -27,10 +27,10 @@
     }
 
     /** Returns places that are free now, own ones first, then those that leave the least behind. */
-    Optional<List<Member>> freeNow() {
+    Optional<List<Member>> findFree() {
         int needed = profile.shape().targets();
         if (needed == 1) {
-            return single().map(this::members);
+            return single().map(this::membersOn);
         }
         return switch (profile.shape().adjacency()) {
             case SAME_TARGET -> Optional.empty();
@@ -40,7 +40,7 @@
     }
 
     /** Returns places among the account's own slices, whoever occupies them now. */
-    Optional<List<Member>> byClaim() {
+    Optional<List<Member>> findClaimable() {
         int needed = profile.shape().targets();
         List<TargetState> own = new ArrayList<>();
         for (Slice slice : draft.fleet().shares().of(job.account())) {
@@ -52,20 +52,20 @@
         own.sort(Comparator.comparingInt((TargetState t) -> -Math.min(t.free(), units(t)))
                 .thenComparing(TargetState::id));
         if (profile.shape().adjacency() != Adjacency.SAME_RACK) {
-            return own.size() < needed ? Optional.empty() : Optional.of(members(own.subList(0, needed)));
+            return own.size() < needed ? Optional.empty() : Optional.of(membersOn(own.subList(0, needed)));
         }
         for (TargetState first : own) {
             List<TargetState> rack = own.stream()
                     .filter(t -> t.target().rack().equals(first.target().rack()))
                     .toList();
             if (rack.size() >= needed) {
-                return Optional.of(members(rack.subList(0, needed)));
+                return Optional.of(membersOn(rack.subList(0, needed)));
             }
         }
         return Optional.empty();
     }
 
-    List<Member> members(List<TargetState> targets) {
+    List<Member> membersOn(List<TargetState> targets) {
         List<Member> members = new ArrayList<>(targets.size());
         for (TargetState target : targets) {
             members.add(new Member(members.size(), target.id(), units(target)));
@@ -79,10 +79,11 @@
 
     private boolean claimable(TargetState target) {
         int owned = target.owned().getOrDefault(job.account(), 0);
-        int kept = target.load().of(job.account()).total() - Victims.ownLower(draft, target, job);
-        boolean leavesOwned = profile.revocable() || draft.rules().leavesOwned(target, job.account(), units(target));
-        return leavesOwned
-                && draft.rules().accepts(target)
+        int kept = target.load().of(job.account()).total() - Victims.ownPreemptibleUnits(draft, target, job);
+        boolean preservesGuarantees =
+                profile.revocable() || draft.rules().preservesGuarantees(target, job.account(), units(target));
+        return preservesGuarantees
+                && draft.rules().acceptsWork(target)
                 && !job.failedOn().contains(target.id())
                 && owned - kept - target.load().claimedBy(job.account()) >= units(target);
     }
@@ -90,11 +91,11 @@
     private boolean fitsNow(TargetState target) {
         int units = units(target);
         boolean trusted = target.health().suspects().isEmpty() || profile.idempotent() && !profile.gang();
-        return draft.rules().accepts(target)
+        return draft.rules().acceptsWork(target)
                 && trusted
                 && !job.failedOn().contains(target.id())
                 && draft.rules().fits(target, units)
-                && (profile.revocable() || draft.rules().leavesOwned(target, job.account(), units));
+                && (profile.revocable() || draft.rules().preservesGuarantees(target, job.account(), units));
     }
 
     private Optional<List<TargetState>> single() {
@@ -134,7 +135,7 @@
                 bestLeft = left;
             }
         }
-        return Optional.ofNullable(best).map(this::members);
+        return Optional.ofNullable(best).map(this::membersOn);
     }
 
     private Optional<List<Member>> anywhere(int needed) {
@@ -146,7 +147,7 @@
                 chosen.add(target);
             }
             if (chosen.size() == needed) {
-                return Optional.of(members(chosen));
+                return Optional.of(membersOn(chosen));
             }
         }
         return Optional.empty();
--- a/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
@@ -17,7 +17,7 @@
         this.draft = draft;
     }
 
-    void succeeded(String id) {
+    void recordSuccess(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null || target.health().equals(Health.GOOD)) {
             return;
@@ -26,11 +26,11 @@
         draft.changeTarget(id, t -> t.with(Health.GOOD));
         if (probed) {
             draft.note(PART, "target=" + id + " trusted again why=a task succeeded");
-            new Membership(draft).reassignOwed();
+            new Membership(draft).reassignOwedSlices();
         }
     }
 
-    void failed(String id, Job job) {
+    void recordFailure(String id, Job job) {
         TargetState target = draft.fleet().target(id);
         if (target == null || target.health().probation()) {
             return;
@@ -49,7 +49,7 @@
     }
 
     /** Takes back the suspicion that a job cast on targets, since it failed on every one. */
-    void excuse(Job job) {
+    void clearSuspicion(Job job) {
         if (job.failedOn().size() < 2) {
             return;
         }
@@ -62,7 +62,7 @@
     }
 
     /** Lets one task through to a target whose pause has passed. */
-    void probe(String id) {
+    void allowProbe(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null || !target.health().probation() || target.health().probeAt() > draft.now()) {
             return;
@@ -82,6 +82,6 @@
                 PART,
                 "target=" + target.id() + " on probation probes=" + probes + " until=" + at
                         + " why=different requests failed there without a success");
-        new Membership(draft).reassign();
+        new Membership(draft).reassignGuarantees();
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
@@ -18,13 +18,13 @@
     }
 
     /** Takes work off for {@code claimant} wherever its promised accelerators are not yet free. */
-    void clearFor(Job claimant, Attempt attempt, boolean drain) {
-        if (!draft.rules().takesOff()) {
+    void preemptFor(Job claimant, Attempt attempt, boolean drain) {
+        if (!draft.rules().preemptionEnabled()) {
             return;
         }
         for (Member member : attempt.members()) {
             TargetState target = draft.fleet().target(member.target());
-            for (Job victim : Victims.choose(draft, target, claimant, drain)) {
+            for (Job victim : Victims.select(draft, target, claimant, drain)) {
                 takeOff(victim, "accelerators claimed by request " + claimant.id());
             }
         }
@@ -32,14 +32,14 @@
 
     private void takeOff(Job victim, String reason) {
         if (victim.phase() instanceof Phase.Running) {
-            gently(victim, Revocation.Purpose.RECLAIM, reason);
+            revoke(victim, Revocation.Purpose.RECLAIM, reason);
         } else {
-            new Starts(draft).withdraw(victim, reason);
+            new Starter(draft).withdraw(victim, reason);
         }
     }
 
     /** Begins with the first treatment that the profile allows. */
-    void gently(Job job, Revocation.Purpose purpose, String reason) {
+    void revoke(Job job, Revocation.Purpose purpose, String reason) {
         begin(job, purpose, next(job, Optional.empty()).orElse(Treatment.STOP), reason);
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Goes on to the next treatment once the present one has passed its deadline. */
-    void overdue(Job job, Phase.Running running) {
+    void escalate(Job job, Phase.Running running) {
         Revocation revocation = running.revocation().orElseThrow();
         if (draft.now() < revocation.deadline()) {
             return;
@@ -95,10 +95,10 @@
 
     /** A target that neither confirms a stop nor reports in time no longer renews the member's lease. */
     private void loseRest(Job job, Phase.Running running) {
-        Progress progress = new Progress(draft);
+        RunTracker tracker = new RunTracker(draft);
         for (Member member : running.attempt().members()) {
             if (running.members().get(member.index()).occupies()) {
-                progress.memberChanged(
+                tracker.handleMemberChange(
                         job.id(), running.attempt().number(), member.index(), MemberState.of(MemberState.Status.LOST));
             }
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Rules.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Rules.java
@@ -11,12 +11,12 @@
  */
 class Rules {
     /** Returns whether every target must agree to hold its place before any member starts. */
-    boolean reservesFirst(Profile profile) {
+    boolean requiresReservation(Profile profile) {
         return profile.gang();
     }
 
     /** Returns whether the intent to start must be on the log before any member starts. */
-    boolean recordsIntent(Profile profile) {
+    boolean requiresIntent(Profile profile) {
         return !profile.idempotent();
     }
 
@@ -26,7 +26,7 @@
     }
 
     /** Returns whether irrevocable work of {@code account} leaves what others own on {@code target} reclaimable. */
-    boolean leavesOwned(TargetState target, String account, int units) {
+    boolean preservesGuarantees(TargetState target, String account, int units) {
         return target.unownedFor(account) >= units;
     }
 
@@ -36,7 +36,7 @@
     }
 
     /** Returns whether {@code target} takes new work. */
-    boolean accepts(TargetState target) {
+    boolean acceptsWork(TargetState target) {
         return target.accepting();
     }
 
@@ -51,12 +51,12 @@
     }
 
     /** Returns whether an account may claim accelerators that it owns and others use. */
-    boolean claims() {
+    boolean claimsEnabled() {
         return true;
     }
 
     /** Returns whether work is taken off for a claim. */
-    boolean takesOff() {
+    boolean preemptionEnabled() {
         return true;
     }
 
@@ -64,14 +64,14 @@
      * Returns whether set-aside places may be lent to a job.
      *
      * @param ownerWaits whether their owner still waits for irrevocable work
-     * @param endsBefore whether the job will have ended by the owner's deadline
+     * @param endsInTime whether the job will have ended by the owner's deadline
      */
-    boolean lends(boolean ownerWaits, boolean endsBefore) {
-        return ownerWaits && endsBefore;
+    boolean mayBackfill(boolean ownerWaits, boolean endsInTime) {
+        return ownerWaits && endsInTime;
     }
 
     /** Returns whether targets that the platform lists as leaving count as leaving. */
-    boolean heedsList() {
+    boolean appliesLeavingList() {
         return true;
     }
 
@@ -86,18 +86,18 @@
     }
 
     /** Returns how urgent {@code job} is within its account; waiting raises it. */
-    long urgency(Job job, long now, Policy policy) {
+    long effectivePriority(Job job, long now, Policy policy) {
         long waited = now - job.request().acceptedAt();
         return job.profile().priority() + waited / policy.agingMillis();
     }
 
     /** Returns the order in which accounts are served, given the accelerators that {@code account} uses. */
-    long turn(int units, Job mostUrgent) {
+    long accountRank(int units, Job mostUrgent) {
         return units;
     }
 
     /** Returns whether places are set aside for large jobs that have waited long. */
-    boolean setsAside() {
+    boolean drainsForLargeJobs() {
         return true;
     }
 
@@ -107,7 +107,7 @@
     }
 
     /** Returns whether the rest of a gang is taken off once a member is gone. */
-    boolean endsBrokenGangs() {
+    boolean stopsPartialGangs() {
         return true;
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Progress.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
@@ -10,12 +10,12 @@
  *
  * <p>Confined to one decision.
  */
-final class Progress {
+final class RunTracker {
     private static final String PART = "progress";
 
     private final Draft draft;
 
-    Progress(Draft draft) {
+    RunTracker(Draft draft) {
         this.draft = draft;
     }
 
@@ -23,7 +23,7 @@
      * Notes a report. A target that was restarted knows nothing of what an earlier leader started there, so its report
      * that such a member was not started proves nothing.
      */
-    void memberChanged(String request, long attempt, int member, MemberState state) {
+    void handleMemberChange(String request, long attempt, int member, MemberState state) {
         Job job = draft.job(request);
         if (job == null
                 || !(job.phase() instanceof Phase.Running running)
@@ -34,7 +34,7 @@
             return;
         }
         if (state.status() == MemberState.Status.NOT_STARTED && draft.recovered(running.attempt())) {
-            memberChanged(request, attempt, member, MemberState.of(MemberState.Status.LOST));
+            handleMemberChange(request, attempt, member, MemberState.of(MemberState.Status.LOST));
             return;
         }
         Job changed = state.status() == MemberState.Status.NOT_STARTED ? job : job.withStart();
@@ -60,22 +60,22 @@
         Probation probation = new Probation(draft);
         if (state.status() == MemberState.Status.ENDED) {
             draft.addRunTime(job.profile().name(), draft.now() - running.startedAt());
-            probation.succeeded(place.target());
+            probation.recordSuccess(place.target());
         }
         if (state.status() == MemberState.Status.FAILED) {
             draft.put(job.withFailure(place.target()));
-            probation.failed(place.target(), job);
+            probation.recordFailure(place.target(), job);
         }
         if (state.status() == MemberState.Status.NOT_STARTED
                 && running.revocation().isEmpty()) {
             draft.put(job.avoiding(place.target()));
-            probation.failed(place.target(), job);
+            probation.recordFailure(place.target(), job);
         }
     }
 
     /** Takes the rest of a gang off once one member is gone. */
     private void endRest(Job job, MemberState state, Member gone) {
-        if (!draft.rules().endsBrokenGangs()) {
+        if (!draft.rules().stopsPartialGangs()) {
             return;
         }
         Revoker revoker = new Revoker(draft);
@@ -127,7 +127,7 @@
     }
 
     private void settleNotStarted(Job job, Phase.Running running) {
-        if (draft.rules().recordsIntent(job.profile())) {
+        if (draft.rules().requiresIntent(job.profile())) {
             draft.command(new Command.RecordVoid(job.id(), running.attempt().number(), false));
         }
         if (job.cancelAsked()) {
@@ -140,7 +140,7 @@
 
     private void settleRevoked(Job job, Phase.Running running, String reason) {
         if (all(running, MemberState.Status.CHECKPOINTED)) {
-            if (draft.rules().recordsIntent(job.profile())) {
+            if (draft.rules().requiresIntent(job.profile())) {
                 draft.command(new Command.RecordVoid(job.id(), running.attempt().number(), true));
             }
             draft.note(PART, job, "checkpointed and queued again");
@@ -161,7 +161,7 @@
         boolean again = draft.rules().mayRunAgain(job)
                 && job.failures() < draft.policy().maxFailures();
         if (!again) {
-            new Probation(draft).excuse(job);
+            new Probation(draft).clearSuspicion(job);
             draft.finish(job, new Outcome.Failed(reason));
             return;
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Starts.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
@@ -12,12 +12,12 @@
  *
  * <p>Confined to one decision.
  */
-final class Starts {
+final class Starter {
     private static final String PART = "start";
 
     private final Draft draft;
 
-    Starts(Draft draft) {
+    Starter(Draft draft) {
         this.draft = draft;
     }
 
@@ -25,7 +25,7 @@
     void begin(Job job, Attempt attempt) {
         draft.dequeue(job);
         draft.occupy(job, attempt);
-        if (!draft.rules().reservesFirst(job.profile())) {
+        if (!draft.rules().requiresReservation(job.profile())) {
             commit(job, attempt);
             return;
         }
@@ -37,7 +37,7 @@
         }
     }
 
-    void reserveAnswered(Event.ReserveAnswered answer) {
+    void handleReserveAnswer(Event.ReserveAnswered answer) {
         Job job = draft.job(answer.request());
         if (job == null
                 || !(job.phase() instanceof Phase.Reserving reserving)
@@ -47,7 +47,7 @@
         }
         if (!answer.granted()) {
             String target = reserving.attempt().members().get(answer.member()).target();
-            giveUp(job.avoiding(target), reserving.attempt(), "target " + target + " refused to hold a place");
+            abandon(job.avoiding(target), reserving.attempt(), "target " + target + " refused to hold a place");
             return;
         }
         Phase.Reserving next =
@@ -59,7 +59,7 @@
         }
     }
 
-    void intentAnswered(Event.IntentAnswered answer) {
+    void handleIntentAnswer(Event.IntentAnswered answer) {
         Job job = draft.job(answer.request());
         if (job == null
                 || !(job.phase() instanceof Phase.Committing committing)
@@ -73,15 +73,15 @@
         if (answer.recorded()) {
             draft.command(new Command.RecordVoid(job.id(), answer.attempt(), false));
         }
-        giveUp(job, committing.attempt(), job.cancelAsked() ? "cancelled" : "the log did not record the intent");
+        abandon(job, committing.attempt(), job.cancelAsked() ? "cancelled" : "the log did not record the intent");
     }
 
     /** Handles a step that took too long. */
-    void overdue(Job job, long attempt) {
+    void handleTimeout(Job job, long attempt) {
         switch (job.phase()) {
             case Phase.Reserving reserving -> {
                 if (reserving.attempt().number() == attempt) {
-                    giveUp(job, reserving.attempt(), "a target did not answer in time");
+                    abandon(job, reserving.attempt(), "a target did not answer in time");
                 }
             }
             case Phase.Running running -> {
@@ -96,7 +96,7 @@
             case Phase.Parked parked -> {
                 boolean late = parked.attempt().number() == attempt && draft.now() >= parked.until();
                 if (late && draft.rules().mayRunAgain(job)) {
-                    new Parking(draft).evict(job, parked, "paused for too long");
+                    new PausedJobs(draft).evict(job, parked, "paused for too long");
                 }
             }
             case Phase.HandingOver handingOver -> {}
@@ -104,9 +104,9 @@
     }
 
     /** Gives the places back and queues the job again; no member was told to start. */
-    void giveUp(Job job, Attempt attempt, String why) {
+    void abandon(Job job, Attempt attempt, String why) {
         draft.note(PART, job, "gave up attempt=" + attempt.number() + " why=" + why);
-        release(job, attempt);
+        releasePlaces(job, attempt);
         if (job.cancelAsked()) {
             draft.finish(job, new Outcome.Cancelled(job.everStarted()));
         } else {
@@ -116,7 +116,7 @@
     }
 
     /** Gives the places of an attempt back that was not started. */
-    void release(Job job, Attempt attempt) {
+    void releasePlaces(Job job, Attempt attempt) {
         for (Member member : attempt.members()) {
             draft.command(new Command.Release(job.id(), attempt.number(), member));
             draft.vacate(job, member, false);
@@ -126,16 +126,16 @@
     /** Gives up a job that holds places but was not told to start. */
     void withdraw(Job job, String why) {
         if (job.phase() instanceof Phase.Reserving reserving) {
-            giveUp(job, reserving.attempt(), why);
+            abandon(job, reserving.attempt(), why);
         }
         if (job.phase() instanceof Phase.Committing committing) {
             draft.command(new Command.RecordVoid(job.id(), committing.attempt().number(), false));
-            giveUp(job, committing.attempt(), why);
+            abandon(job, committing.attempt(), why);
         }
     }
 
     private void commit(Job job, Attempt attempt) {
-        if (!draft.rules().recordsIntent(job.profile())) {
+        if (!draft.rules().requiresIntent(job.profile())) {
             start(job, attempt, false);
             return;
         }
@@ -149,7 +149,7 @@
             if (intended) {
                 draft.command(new Command.RecordVoid(job.id(), attempt.number(), false));
             }
-            giveUp(job, attempt, barred);
+            abandon(job, attempt, barred);
             return;
         }
         long window = draft.now() + draft.policy().startWindowMillis();
@@ -197,14 +197,14 @@
     }
 
     /** Follows an attempt whose starts an earlier leader may have sent; its targets say what became of it. */
-    void resumeFollowing(Job job, Attempt attempt) {
+    void resumeTracking(Job job, Attempt attempt) {
         draft.put(job);
         draft.occupy(job, attempt);
         follow(job, attempt);
         boolean crowded =
                 attempt.members().stream().anyMatch(m -> crowded(draft.fleet().target(m.target())));
         if (crowded) {
-            new Membership(draft).reassign();
+            new Membership(draft).reassignGuarantees();
         }
     }
 
@@ -213,10 +213,10 @@
     }
 
     private void loseSilent(Job job, Phase.Running running) {
-        Progress progress = new Progress(draft);
+        RunTracker tracker = new RunTracker(draft);
         for (Member member : running.attempt().members()) {
             if (running.members().get(member.index()).status() == MemberState.Status.STARTING) {
-                progress.memberChanged(
+                tracker.handleMemberChange(
                         job.id(), running.attempt().number(), member.index(), MemberState.of(MemberState.Status.LOST));
             }
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
@@ -19,7 +19,7 @@
     private Victims() {}
 
     /** Returns the accelerators on {@code target} of the claimant's own revocable work of a lower priority. */
-    static int ownLower(Draft draft, TargetState target, Job claimant) {
+    static int ownPreemptibleUnits(Draft draft, TargetState target, Job claimant) {
         if (target.load().of(claimant.account()).revocable() == 0) {
             return 0;
         }
@@ -37,7 +37,7 @@
      * Returns work to take off {@code target} so that the claimant's promised accelerators become free: what other
      * accounts borrow there, then the claimant's own work of a lower priority, or all of its own if {@code drain}.
      */
-    static List<Job> choose(Draft draft, TargetState target, Job claimant, boolean drain) {
+    static List<Job> select(Draft draft, TargetState target, Job claimant, boolean drain) {
         int others = drain ? 0 : target.load().setAside();
         int missing = -target.free() - others - target.load().revoking();
         if (missing <= 0) {
@@ -77,7 +77,7 @@
     }
 
     /** Returns whether a job is left alone when places are set aside: else two large jobs could evict each other. */
-    static boolean spares(Job job, Job claimant) {
+    static boolean isSpared(Job job, Job claimant) {
         return job.profile().shape().accelerators()
                 >= claimant.profile().shape().accelerators();
     }
@@ -86,7 +86,7 @@
         int units = 0;
         for (String id : target.load().jobs()) {
             Job job = draft.job(id);
-            if (job != null && job.account().equals(account) && job.profile().revocable() && spares(job, claimant)) {
+            if (job != null && job.account().equals(account) && job.profile().revocable() && isSpared(job, claimant)) {
                 units += unitsOn(job, target);
             }
         }
@@ -99,7 +99,7 @@
     }
 
     private static boolean mayTake(Job job, TargetState target, Job claimant, boolean drain) {
-        boolean spared = drain && spares(job, claimant);
+        boolean spared = drain && isSpared(job, claimant);
         if (!removable(job.phase()) || !job.profile().revocable() || spared) {
             return false;
         }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/Baseline.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/Baseline.java
@@ -9,17 +9,17 @@
     /** Arrival order over all accounts, the first place that fits, nothing taken back. */
     FIRST_FIT(new Rules() {
         @Override
-        boolean leavesOwned(TargetState target, String account, int units) {
+        boolean preservesGuarantees(TargetState target, String account, int units) {
             return true;
         }
 
         @Override
-        boolean claims() {
+        boolean claimsEnabled() {
             return false;
         }
 
         @Override
-        boolean setsAside() {
+        boolean drainsForLargeJobs() {
             return false;
         }
 
@@ -29,39 +29,39 @@
         }
 
         @Override
-        long urgency(Job job, long now, Policy policy) {
+        long effectivePriority(Job job, long now, Policy policy) {
             return -job.sequence();
         }
 
         @Override
-        long turn(int units, Job mostUrgent) {
+        long accountRank(int units, Job mostUrgent) {
             return mostUrgent.sequence();
         }
     }),
     /** Highest priority over all accounts first, nothing taken back, no aging. */
     STRICT_PRIORITY(new Rules() {
         @Override
-        boolean leavesOwned(TargetState target, String account, int units) {
+        boolean preservesGuarantees(TargetState target, String account, int units) {
             return true;
         }
 
         @Override
-        boolean claims() {
+        boolean claimsEnabled() {
             return false;
         }
 
         @Override
-        boolean setsAside() {
+        boolean drainsForLargeJobs() {
             return false;
         }
 
         @Override
-        long urgency(Job job, long now, Policy policy) {
+        long effectivePriority(Job job, long now, Policy policy) {
             return job.profile().priority();
         }
 
         @Override
-        long turn(int units, Job mostUrgent) {
+        long accountRank(int units, Job mostUrgent) {
             return -mostUrgent.profile().priority();
         }
     });
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/CellDriver.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/CellDriver.java
@@ -105,7 +105,7 @@
     }
 
     long checks() {
-        return checks + invariants.checks();
+        return checks + invariants.checkCount();
     }
 
     long now() {
@@ -399,7 +399,7 @@
         epoch++;
         pausedUntil = now;
         pendingRecords.clear();
-        checks += invariants.checks();
+        checks += invariants.checkCount();
         invariants = new Invariants(decider.policy());
         state = CellState.initial(dataCentre, epoch);
         event(new Event.Configured(active));
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
@@ -32,7 +32,7 @@
     void takingWhatOthersOwnIsNoticed() throws Exception {
         noticed(Invariant.GUARANTEE, new Rules() {
             @Override
-            boolean leavesOwned(TargetState target, String account, int units) {
+            boolean preservesGuarantees(TargetState target, String account, int units) {
                 return true;
             }
         });
@@ -42,7 +42,7 @@
     void notTakingWorkOffForClaimsIsNoticed() throws Exception {
         noticed(Invariant.RECLAIM_BOUND, new Rules() {
             @Override
-            boolean takesOff() {
+            boolean preemptionEnabled() {
                 return false;
             }
         });
@@ -52,7 +52,7 @@
     void lendingSetAsidePlacesForeverIsNoticed() throws Exception {
         noticed(Invariant.LARGE_JOB_BOUND, new Rules() {
             @Override
-            boolean lends(boolean ownerWaits, boolean endsBefore) {
+            boolean mayBackfill(boolean ownerWaits, boolean endsInTime) {
                 return true;
             }
         });
@@ -62,7 +62,7 @@
     void startingGangsWithoutReservationsIsNoticed() throws Exception {
         noticed(Invariant.GANG_WHOLE, new Rules() {
             @Override
-            boolean reservesFirst(Profile profile) {
+            boolean requiresReservation(Profile profile) {
                 return false;
             }
         });
@@ -72,7 +72,7 @@
     void leavingBrokenGangsRunningIsNoticed() throws Exception {
         noticed(Invariant.GANG_WHOLE, new Rules() {
             @Override
-            boolean endsBrokenGangs() {
+            boolean stopsPartialGangs() {
                 return false;
             }
         });
@@ -92,7 +92,7 @@
     void startingOnLeavingTargetsIsNoticed() throws Exception {
         noticed(Invariant.LEAVING, new Rules() {
             @Override
-            boolean heedsList() {
+            boolean appliesLeavingList() {
                 return false;
             }
         });
@@ -114,7 +114,7 @@
     void startingWithoutAnIntentIsNoticed() throws Exception {
         noticed(Invariant.AT_MOST_ONCE, new Rules() {
             @Override
-            boolean recordsIntent(Profile profile) {
+            boolean requiresIntent(Profile profile) {
                 return false;
             }
         });
