--- a/acacia-node/src/main/java/org/acaciaport/node/Clocks.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Clocks.java
@@ -1,6 +1,6 @@
 package org.acaciaport.node;
 
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 
 /** Reads both clocks of the process. Safe for use by several threads. */
 final class Clocks {
@@ -8,8 +8,8 @@
 
     private Clocks() {}
 
-    static Moment now() {
-        return new Moment(System.nanoTime(), System.currentTimeMillis());
+    static ClockReading now() {
+        return new ClockReading(System.nanoTime(), System.currentTimeMillis());
     }
 
     /** Returns a deadline {@code millis} milliseconds from now, as a reading of the steady clock. */
@@ -25,9 +25,9 @@
      * Returns the age of {@code then} in milliseconds, by the clock that shows more: the steady clock does not count
      * the time in which the process was suspended, and the time of day may be set back.
      */
-    static long age(Moment then) {
-        Moment now = now();
-        return Math.max(now.millisSince(then.nanos()), now.millis() - then.millis());
+    static long age(ClockReading then) {
+        ClockReading now = now();
+        return Math.max(now.millisSince(then.monotonicNanos()), now.wallClockMillis() - then.wallClockMillis());
     }
 
     /** Sleeps; returns false if the thread was interrupted, which stays noted. */
--- a/acacia-node/src/main/java/org/acaciaport/node/Desk.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Desk.java
@@ -5,9 +5,9 @@
 import org.acaciaport.log.Append;
 import org.acaciaport.log.AppendOutcome;
 import org.acaciaport.log.KeyedRecord;
+import org.acaciaport.pool.ClockReading;
 import org.acaciaport.pool.Job;
 import org.acaciaport.pool.JobState;
-import org.acaciaport.pool.Moment;
 import org.acaciaport.pool.Step;
 import org.jboss.logging.Logger;
 
@@ -109,7 +109,7 @@
      */
     public Access access(String host, String path, String key) {
         AccessList list = operators.accessList();
-        Moment asOf = operators.asOf();
+        ClockReading asOf = operators.asOf();
         if (list == null || asOf == null) {
             return new Access.NotCurrent("no configuration yet");
         }
@@ -131,8 +131,8 @@
 
     /** Returns whether this node can serve, as far as it knows. */
     public boolean ready() {
-        Moment asOf = operators.asOf();
-        Moment copy = replica.asOf();
+        ClockReading asOf = operators.asOf();
+        ClockReading copy = replica.asOf();
         return asOf != null
                 && copy != null
                 && operators.accessList() != null
@@ -241,7 +241,7 @@
             if (entry == null) {
                 return new Answer.NoJob();
             }
-            if (entry.state().terminal()) {
+            if (entry.state().isTerminal()) {
                 return new Answer.Accepted();
             }
         } catch (NotCurrentException e) {
@@ -254,7 +254,7 @@
 
     /** Returns how many accepted jobs of the queue have no started task, or -1 if that is not known. */
     public long pending(Access.Granted access) {
-        Moment asOf = replica.asOf();
+        ClockReading asOf = replica.asOf();
         return asOf == null || Clocks.age(asOf) > FRESH_MILLIS
                 ? -1
                 : replica.pending(access.queue().name());
--- a/acacia-node/src/main/java/org/acaciaport/node/Follower.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Follower.java
@@ -5,7 +5,7 @@
 import org.acaciaport.log.KeyedRecord;
 import org.acaciaport.log.NewestOutcome;
 import org.acaciaport.log.ReadOutcome;
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 import org.jboss.logging.Logger;
 
 /**
@@ -37,7 +37,7 @@
          *
          * @param next offset of the next record
          */
-        void caughtUp(Moment asOf, long next);
+        void caughtUp(ClockReading asOf, long next);
     }
 
     /**
@@ -122,7 +122,7 @@
         if (from < 0) {
             return restart() && step(0);
         }
-        Moment asOf = Clocks.now();
+        ClockReading asOf = Clocks.now();
         return switch (log.read(topic, from, waitMillis, Clocks.in(waitMillis + ANSWER_MILLIS))) {
             case ReadOutcome.Records records -> take(records, from, asOf);
             case ReadOutcome.Expired expired -> {
@@ -139,7 +139,7 @@
         };
     }
 
-    private boolean take(ReadOutcome.Records read, long from, Moment asOf) {
+    private boolean take(ReadOutcome.Records read, long from, ClockReading asOf) {
         synchronized (lock) {
             List<KeyedRecord> records = read.records();
             for (int i = 0; i < records.size(); i++) {
--- a/acacia-node/src/main/java/org/acaciaport/node/JobEntry.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/JobEntry.java
@@ -34,7 +34,7 @@
 
     /** Returns the state that callers see. */
     JobState state() {
-        if (progress != null && progress.state().terminal()) {
+        if (progress != null && progress.state().isTerminal()) {
             return progress.state();
         }
         if (cancel != null) {
--- a/acacia-node/src/main/java/org/acaciaport/node/Leadership.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Leadership.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 import org.acaciaport.log.Append;
 import org.acaciaport.log.AppendOutcome;
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 import org.jboss.logging.Logger;
 
 /**
@@ -65,17 +65,17 @@
 
     /** Returns whether the log, read up to now, shows no living leader. */
     private boolean vacant() {
-        Moment asOf = parts.replica().asOf();
+        ClockReading asOf = parts.replica().asOf();
         if (asOf == null || parts.operators().accessList() == null || !silent(asOf)) {
             return false;
         }
         Clocks.sleep(random.nextInt(JITTER_MILLIS));
-        Moment asked = Clocks.now();
+        ClockReading asked = Clocks.now();
         if (!jobs.catchUp(Clocks.in(CLAIM_MILLIS))) {
             return false;
         }
-        Moment fresh = parts.replica().asOf();
-        long took = Clocks.now().millisSince(asked.nanos());
+        ClockReading fresh = parts.replica().asOf();
+        long took = Clocks.now().millisSince(asked.monotonicNanos());
         Replica.Leader leader = parts.replica().leader();
         if (fresh == null || over(leader)) {
             return fresh != null;
@@ -83,7 +83,7 @@
         return fresh.millisSince(leader.heardNanos()) > SILENCE_MILLIS + READ_FACTOR * took;
     }
 
-    private boolean silent(Moment asOf) {
+    private boolean silent(ClockReading asOf) {
         Replica.Leader leader = parts.replica().leader();
         return over(leader) || asOf.millisSince(leader.heardNanos()) > SILENCE_MILLIS;
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/OperatorView.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OperatorView.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.acaciaport.log.KeyedRecord;
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 import org.acaciaport.pool.PoolSettings;
 import org.jboss.logging.Logger;
 
@@ -20,7 +20,7 @@
     private final Set<String> asked = new TreeSet<>();
     private Set<String> evacuated = Set.of();
     private AccessList accessList;
-    private Moment asOf;
+    private ClockReading asOf;
     private Runnable listener = () -> {};
 
     OperatorView(OperatorCodec codec) {
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public synchronized void caughtUp(Moment moment, long next) {
+    public synchronized void caughtUp(ClockReading moment, long next) {
         asOf = moment;
         if (!evacuated.equals(asked)) {
             evacuated = Set.copyOf(asked);
@@ -78,7 +78,7 @@
     }
 
     /** Returns a moment as of which the publication is known to be the newest, or null if there is none. */
-    synchronized Moment asOf() {
+    synchronized ClockReading asOf() {
         return asOf;
     }
 
--- a/acacia-node/src/main/java/org/acaciaport/node/Orphans.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Orphans.java
@@ -4,7 +4,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Set;
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 
 /**
  * Judges work that a new leader finds on targets that are not registered, and so cannot be asked.
@@ -24,9 +24,9 @@
     }
 
     /** Returns the targets among {@code occupied} whose work is over. Those in {@code asked} are judged by reports. */
-    List<String> over(Collection<String> occupied, Set<String> asked, Moment now) {
+    List<String> over(Collection<String> occupied, Set<String> asked, ClockReading now) {
         List<String> over = new ArrayList<>();
-        if (now.nanos() - leasesOverNanos < 0) {
+        if (now.monotonicNanos() - leasesOverNanos < 0) {
             return over;
         }
         for (String id : occupied) {
--- a/acacia-node/src/main/java/org/acaciaport/node/Registry.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Registry.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.acaciaport.log.KeyedRecord;
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 
 /**
  * Hands registrations of targets to a term.
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void caughtUp(Moment asOf, long next) {
+    public void caughtUp(ClockReading asOf, long next) {
         Set<String> gone = Set.copyOf(unseen);
         unseen.clear();
         gone.forEach(this::drop);
--- a/acacia-node/src/main/java/org/acaciaport/node/Replica.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Replica.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import org.acaciaport.log.KeyedRecord;
+import org.acaciaport.pool.ClockReading;
 import org.acaciaport.pool.Job;
 import org.acaciaport.pool.JobProgress;
 import org.acaciaport.pool.JobState;
-import org.acaciaport.pool.Moment;
 import org.jboss.logging.Logger;
 
 /**
@@ -43,7 +43,7 @@
     private final Map<String, NodeRecord> nodes = new HashMap<>();
     private Leader leader;
     private Listener listener;
-    private Moment asOf;
+    private ClockReading asOf;
     private long next;
 
     @Override
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public synchronized void caughtUp(Moment moment, long end) {
+    public synchronized void caughtUp(ClockReading moment, long end) {
         asOf = moment;
         next = end;
     }
@@ -133,7 +133,7 @@
     }
 
     /** Returns a moment at which the copy was complete, or null if it never was. */
-    synchronized Moment asOf() {
+    synchronized ClockReading asOf() {
         return asOf;
     }
 
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetLease.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetLease.java
@@ -1,7 +1,7 @@
 package org.acaciaport.node;
 
 import java.util.OptionalLong;
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 
 /**
  * What one target may have been granted as lease, on the target's own clock.
@@ -35,7 +35,7 @@
     }
 
     /** Returns the steady reading by which leases of an earlier leader are over. */
-    static long inherited(Moment now, long earlierLeaderMillis) {
+    static long inherited(ClockReading now, long earlierLeaderMillis) {
         long lease = (long) (LEASE_MILLIS / SLOWEST_CLOCK) + LAPSE_SLACK_MILLIS;
         return now.nanosAfter(earlierLeaderMillis + lease);
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.OptionalLong;
-import org.acaciaport.pool.Order;
+import org.acaciaport.pool.TargetCommand;
 import org.acaciaport.pool.TargetReport;
 import org.jboss.logging.Logger;
 
@@ -44,10 +44,10 @@
         void reported(TargetReport report);
 
         /** A start was confirmed. */
-        void started(Order.Start start);
+        void started(TargetCommand.Start start);
 
         /** A start did not happen and never will. */
-        void notStarted(Order.Start start, String reason, long avoidMillis);
+        void notStarted(TargetCommand.Start start, String reason, long avoidMillis);
 
         /** The target does not answer. */
         void silent(String target, long avoidMillis);
@@ -63,7 +63,7 @@
     }
 
     /** A start without an answer. */
-    private record Uncertain(Order.Start start, long fence, long sentNanos) {}
+    private record Uncertain(TargetCommand.Start start, long fence, long sentNanos) {}
 
     private final String id;
     private final TargetCalls calls;
@@ -226,7 +226,7 @@
 
     /** Decides what became of a start, now that a delayed copy of it can do nothing any more. */
     private void judge(Uncertain each, TargetReport report) {
-        Order.Start start = each.start();
+        TargetCommand.Start start = each.start();
         boolean there =
                 report.running().stream().anyMatch(run -> run.task().equals(start.task()) && run.run() == start.run());
         boolean ended =
@@ -279,11 +279,11 @@
     }
 
     /** Sends a start whose record is durable. */
-    void start(Order.Start start) {
+    void start(TargetCommand.Start start) {
         send(start, System.nanoTime());
     }
 
-    private void send(Order.Start start, long firstNanos) {
+    private void send(TargetCommand.Start start, long firstNanos) {
         TargetCalls.StartCall call;
         TargetCalls.Address to;
         synchronized (this) {
@@ -293,7 +293,7 @@
                 return;
             }
             call = new TargetCalls.StartCall(
-                    start.task(), start.run(), start.payload(), start.saved(), until.getAsLong(), fence());
+                    start.task(), start.run(), start.payload(), start.checkpoint(), until.getAsLong(), fence());
             to = address;
         }
         switch (calls.start(to, call, ORDER_ANSWER_MILLIS)) {
@@ -306,7 +306,7 @@
         }
     }
 
-    private synchronized void unanswered(Order.Start start, long fence, long firstNanos, String reason) {
+    private synchronized void unanswered(TargetCommand.Start start, long fence, long firstNanos, String reason) {
         LOG.infof(
                 "start: request=%s task=%s run=%s target=%s outcome=unanswered reason=%s",
                 start.task().job(), start.task(), start.run(), id, reason);
@@ -318,7 +318,7 @@
     }
 
     private void startRefused(
-            Order.Start start, TargetCalls.StartCall call, TargetCalls.Refused refused, long firstNanos) {
+            TargetCommand.Start start, TargetCalls.StartCall call, TargetCalls.Refused refused, long firstNanos) {
         refused.clockMillis().ifPresent(this::clock);
         switch (refused.why()) {
             case FENCE -> {
@@ -347,7 +347,7 @@
     }
 
     /** Sends a stop. One without an answer is sent again when a report still shows the run. */
-    void stop(Order.Stop stop) {
+    void stop(TargetCommand.Stop stop) {
         TargetCalls.Address to;
         synchronized (this) {
             to = address;
--- a/acacia-node/src/main/java/org/acaciaport/node/Term.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Term.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 import org.acaciaport.log.KeyedRecord;
 import org.acaciaport.pool.Batch;
+import org.acaciaport.pool.ClockReading;
 import org.acaciaport.pool.Job;
 import org.acaciaport.pool.JobProgress;
-import org.acaciaport.pool.Moment;
-import org.acaciaport.pool.Order;
 import org.acaciaport.pool.Pool;
+import org.acaciaport.pool.TargetCommand;
 import org.acaciaport.pool.TargetInfo;
 import org.acaciaport.pool.TargetReport;
 import org.jboss.logging.Logger;
@@ -77,10 +77,10 @@
         this.calls = parts.calls();
         Follower.Pace pace = new Follower.Pace(0, REGISTRY_PAUSE_MILLIS);
         registry = new Follower(parts.topics().targets(), parts.log(), pace, new Registry(parts.codec(), this));
-        Moment now = Clocks.now();
+        ClockReading now = Clocks.now();
         begunInheritedNanos = TargetLease.inherited(now, UNCONFIRMED_MILLIS);
         orphans = new Orphans(begunInheritedNanos);
-        purgeNanos = now.nanos();
+        purgeNanos = now.monotonicNanos();
     }
 
     /**
@@ -119,7 +119,7 @@
     }
 
     private void restore() {
-        Moment now = Clocks.now();
+        ClockReading now = Clocks.now();
         List<CancelRecord> cancels = new ArrayList<>();
         for (JobEntry entry : replica.attach(this)) {
             if (entry.job() == null) {
@@ -138,7 +138,7 @@
         cancels.forEach(cancel -> pool.cancel(cancel.id(), now));
         LOG.infof(
                 "lead: epoch=%s outcome=leading occupied=%s",
-                epoch, pool.occupied().size());
+                epoch, pool.occupiedTargets().size());
     }
 
     private void step() throws InterruptedException {
@@ -150,11 +150,11 @@
         if (over) {
             return;
         }
-        Moment now = Clocks.now();
+        ClockReading now = Clocks.now();
         if (!resigning) {
             pool.schedule(now);
         }
-        for (Order.Stop stop : pool.takeStops()) {
+        for (TargetCommand.Stop stop : pool.takeStops()) {
             TargetSession session = session(stop.target());
             if (session != null) {
                 executor.execute(() -> session.stop(stop));
@@ -164,13 +164,13 @@
         if (!appending) {
             append(now);
         }
-        Set<String> occupied = new HashSet<>(pool.occupied());
+        Set<String> occupied = new HashSet<>(pool.occupiedTargets());
         occupied.forEach(this::session);
-        orphans.over(occupied, sessions.keySet(), now).forEach(id -> pool.lapsed(id, now));
+        orphans.over(occupied, sessions.keySet(), now).forEach(id -> pool.handleLeaseExpiry(id, now));
         sessions.forEach((id, session) -> session.need(occupied.contains(id)));
     }
 
-    private void append(Moment now) {
+    private void append(ClockReading now) {
         Batch batch = pool.takeBatch();
         boolean beat = now.millisSince(beatNanos) >= BEAT_MILLIS;
         if (batch.records().isEmpty() && extra.isEmpty() && !beat) {
@@ -181,7 +181,7 @@
         extra.clear();
         batch.records().forEach(progress -> records.add(JobRecords.progress(progress)));
         if (beat || resigning) {
-            beatNanos = now.nanos();
+            beatNanos = now.monotonicNanos();
             records.add(JobRecords.leader(new LeaderRecord(self.node(), self.startedMillis(), resigning)));
         }
         appending = true;
@@ -201,10 +201,10 @@
     }
 
     private void release(Batch batch) {
-        for (Order.Start start : batch.starts()) {
+        for (TargetCommand.Start start : batch.starts()) {
             TargetSession session = session(start.target());
             if (session == null) {
-                pool.notStarted(start, "no address", 0, Clocks.now());
+                pool.handleStartFailure(start, "no address", 0, Clocks.now());
             } else {
                 executor.execute(() -> session.start(start));
             }
@@ -218,13 +218,13 @@
     }
 
     /** Drops jobs that ended long ago. */
-    private void purge(Moment now) {
+    private void purge(ClockReading now) {
         if (now.millisSince(purgeNanos) < PURGE_PAUSE_MILLIS) {
             return;
         }
-        purgeNanos = now.nanos();
-        for (String id : pool.endedBefore(now.millis() - KEPT_MILLIS)) {
-            pool.forget(id);
+        purgeNanos = now.monotonicNanos();
+        for (String id : pool.jobsEndedBefore(now.wallClockMillis() - KEPT_MILLIS)) {
+            pool.removeJob(id);
             extra.add(KeyedRecord.drop(JobRecords.PROGRESS + id));
             extra.add(KeyedRecord.drop(JobRecords.CANCEL + id));
             extra.add(KeyedRecord.drop(JobRecords.JOB + id));
@@ -279,27 +279,27 @@
 
     @Override
     public void reported(TargetReport report) {
-        events.add(() -> pool.report(report, Clocks.now()));
+        events.add(() -> pool.handleReport(report, Clocks.now()));
     }
 
     @Override
-    public void started(Order.Start start) {
-        events.add(() -> pool.started(start, Clocks.now()));
+    public void started(TargetCommand.Start start) {
+        events.add(() -> pool.handleStarted(start, Clocks.now()));
     }
 
     @Override
-    public void notStarted(Order.Start start, String reason, long avoidMillis) {
-        events.add(() -> pool.notStarted(start, reason, avoidMillis, Clocks.now()));
+    public void notStarted(TargetCommand.Start start, String reason, long avoidMillis) {
+        events.add(() -> pool.handleStartFailure(start, reason, avoidMillis, Clocks.now()));
     }
 
     @Override
     public void silent(String target, long avoidMillis) {
-        events.add(() -> pool.avoid(target, avoidMillis, Clocks.now()));
+        events.add(() -> pool.exclude(target, avoidMillis, Clocks.now()));
     }
 
     @Override
     public void lapsed(String target) {
-        events.add(() -> pool.lapsed(target, Clocks.now()));
+        events.add(() -> pool.handleLeaseExpiry(target, Clocks.now()));
     }
 
     @Override
--- a/acacia-node/src/main/java/org/acaciaport/node/TermLog.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TermLog.java
@@ -5,7 +5,7 @@
 import org.acaciaport.log.AppendOutcome;
 import org.acaciaport.log.KeyedLog;
 import org.acaciaport.log.KeyedRecord;
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 import org.jboss.logging.Logger;
 
 /**
@@ -23,7 +23,7 @@
     private final String topic;
     private final long epoch;
     private long sequence;
-    private volatile Moment confirmed;
+    private volatile ClockReading confirmed;
 
     TermLog(KeyedLog log, String topic, long epoch) {
         this.log = log;
@@ -33,7 +33,7 @@
 
     /** Bars earlier terms from writing; returns false if a later one was there first or the log did not answer. */
     boolean bar() {
-        Moment sent = Clocks.now();
+        ClockReading sent = Clocks.now();
         Append append = new Append(topic, List.of(), new Append.Writer(WRITER, epoch, 0));
         AppendOutcome outcome = log.append(append, Clocks.in(TRY_MILLIS));
         confirmed = sent;
@@ -45,7 +45,7 @@
     boolean append(List<KeyedRecord> records) {
         Append append = new Append(topic, records, new Append.Writer(WRITER, epoch, sequence));
         while (!Thread.currentThread().isInterrupted()) {
-            Moment sent = Clocks.now();
+            ClockReading sent = Clocks.now();
             switch (log.append(append, Clocks.in(TRY_MILLIS))) {
                 case AppendOutcome.Appended appended -> {
                     return confirm(sent);
@@ -72,14 +72,14 @@
         return false;
     }
 
-    private boolean confirm(Moment sent) {
+    private boolean confirm(ClockReading sent) {
         sequence++;
         confirmed = sent;
         return true;
     }
 
     /** Returns a moment at which this term was the newest for sure. */
-    Moment confirmed() {
+    ClockReading confirmed() {
         return confirmed;
     }
 }
--- a/acacia-node/src/test/java/org/acaciaport/node/LogTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LogTest.java
@@ -316,7 +316,7 @@
         Desk desk = new Desk(parts, follower, 1, new MetricRegistry());
         assertThat(desk.access("host", "/p/a", "key")).isInstanceOf(Desk.Access.NotCurrent.class);
         operators.apply(KeyedRecord.drop("config"), 0);
-        operators.caughtUp(new org.acaciaport.pool.Moment(System.nanoTime(), 0), 1);
+        operators.caughtUp(new org.acaciaport.pool.ClockReading(System.nanoTime(), 0), 1);
         assertThat(desk.access("host", "/p/a", "key")).isInstanceOf(Desk.Access.NotCurrent.class);
     }
 }
--- a/acacia-node/src/test/java/org/acaciaport/node/OrphansTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/OrphansTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import java.util.Set;
-import org.acaciaport.pool.Moment;
+import org.acaciaport.pool.ClockReading;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -16,14 +16,15 @@
 
     @Test
     void workOnAnUnregisteredTargetIsOverOnceTheLeasesAre() {
-        assertThat(orphans.over(List.of("gone"), Set.of(), new Moment(999, 0))).isEmpty();
-        assertThat(orphans.over(List.of("gone"), Set.of(), new Moment(1_000, 0)))
+        assertThat(orphans.over(List.of("gone"), Set.of(), new ClockReading(999, 0)))
+                .isEmpty();
+        assertThat(orphans.over(List.of("gone"), Set.of(), new ClockReading(1_000, 0)))
                 .containsExactly("gone");
     }
 
     @Test
     void aTargetThatIsAskedIsJudgedByItsReports() {
-        assertThat(orphans.over(List.of("t"), Set.of("t"), new Moment(2_000, 0)))
+        assertThat(orphans.over(List.of("t"), Set.of("t"), new ClockReading(2_000, 0)))
                 .isEmpty();
     }
 }
--- a/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.acaciaport.pool.Moment;
-import org.acaciaport.pool.Order;
+import org.acaciaport.pool.ClockReading;
+import org.acaciaport.pool.TargetCommand;
 import org.acaciaport.pool.TargetReport;
 import org.acaciaport.pool.TaskId;
 import org.junit.jupiter.api.Test;
@@ -19,7 +19,7 @@
     private static final long PATIENCE_SECONDS = 20;
 
     private final TaskId task = new TaskId("a", 0, 0, 0);
-    private final Order.Start order = new Order.Start("t", 1, task, 1, "payload", "");
+    private final TargetCommand.Start order = new TargetCommand.Start("t", 1, task, 1, "payload", "");
     private final FakeTarget target = new FakeTarget();
     private final Recorder events = new Recorder();
 
@@ -49,7 +49,7 @@
     @Test
     void leasesOfAnEarlierLeaderAreWaitedOut() throws Exception {
         target.silent.set(true);
-        Moment now = Clocks.now();
+        ClockReading now = Clocks.now();
         TargetSession session = session(now.nanosAfter(300));
         session.need(true);
         assertThat(events.lapsed.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
@@ -124,7 +124,7 @@
         final CountDownLatch reported = new CountDownLatch(1);
         final CountDownLatch lapsed = new CountDownLatch(1);
         final CountDownLatch deposed = new CountDownLatch(1);
-        final LinkedBlockingQueue<Order.Start> started = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<TargetCommand.Start> started = new LinkedBlockingQueue<>();
 
         @Override
         public void reported(TargetReport report) {
@@ -132,12 +132,12 @@
         }
 
         @Override
-        public void started(Order.Start start) {
+        public void started(TargetCommand.Start start) {
             started.add(start);
         }
 
         @Override
-        public void notStarted(Order.Start start, String reason, long avoidMillis) {
+        public void notStarted(TargetCommand.Start start, String reason, long avoidMillis) {
             throw new AssertionError(reason);
         }
 
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Accounts.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Accounts.java
@@ -21,7 +21,7 @@
     static Accounts of(Collection<JobRun> jobs, PoolSettings settings) {
         Accounts accounts = new Accounts(settings.guarantees());
         for (JobRun run : jobs) {
-            if (run.state.terminal() || run.job.terms().priority() != 0) {
+            if (run.state.isTerminal() || run.job.terms().priority() != 0) {
                 continue;
             }
             long widest = 0;
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Batch.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Batch.java
@@ -13,7 +13,7 @@
  * @param acknowledgements by target, the last end that the records cover
  */
 public record Batch(
-        List<JobProgress> records, List<Order.Start> starts, Map<String, Acknowledgement> acknowledgements) {
+        List<JobProgress> records, List<TargetCommand.Start> starts, Map<String, Acknowledgement> acknowledgements) {
     /** Copies the collections. */
     public Batch {
         records = List.copyOf(records);
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Ends.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Ends.java
@@ -31,20 +31,20 @@
     }
 
     /** Takes note of an end that {@code target} lists. Ends of older runs, or of a null task, change nothing. */
-    void settle(TaskRun task, TargetRun target, TargetReport.Ended end, Moment now) {
+    void settle(TaskRun task, TargetRun target, TargetReport.Ended end, ClockReading now) {
         boolean here = task != null && task.lastRun == end.run() && task.phase.occupies() && task.target == target;
         boolean gone = task != null && task.lastRun == end.run() && !task.phase.occupies();
         LOG.infof(
                 "end: request=%s task=%s run=%s target=%s how=%s number=%s current=%s",
-                end.task().job(), end.task(), end.run(), target.id, end.how(), end.number(), here);
-        if (!here && !(gone && end.how() == TargetReport.How.DONE && task.phase != Phase.DONE)) {
+                end.task().job(), end.task(), end.run(), target.id, end.reason(), end.number(), here);
+        if (!here && !(gone && end.reason() == TargetReport.EndReason.DONE && task.phase != Phase.DONE)) {
             return;
         }
-        if (!end.saved().isEmpty()) {
-            save(task, end.saved());
+        if (!end.checkpoint().isEmpty()) {
+            save(task, end.checkpoint());
         }
         outbox.changed(task.step.job);
-        switch (end.how()) {
+        switch (end.reason()) {
             case DONE -> {
                 suspicion.succeeded(target);
                 done(task, now);
@@ -68,9 +68,9 @@
         }
     }
 
-    private void done(TaskRun task, Moment now) {
+    private void done(TaskRun task, ClockReading now) {
         StepRun step = task.step;
-        if (step.job.state.terminal()) {
+        if (step.job.state.isTerminal()) {
             release(task, Phase.WAITING);
             return;
         }
@@ -85,10 +85,10 @@
         }
         JobRun job = step.job;
         if (job.occurrence(step.occurrence).stream().allMatch(StepRun::done)) {
-            job.close(step.occurrence, now.millis());
+            job.close(step.occurrence, now.wallClockMillis());
             if (job.state == JobState.DONE) {
                 suspicion.forget(job.job.id());
-                LOG.infof("done: request=%s age_ms=%s", job.job.id(), now.millis() - job.job.acceptedMillis());
+                LOG.infof("done: request=%s age_ms=%s", job.job.id(), now.wallClockMillis() - job.job.acceptedMillis());
             }
         }
     }
@@ -101,7 +101,7 @@
         task.step.doneTasks++;
     }
 
-    private void failed(TaskRun task, Moment now) {
+    private void failed(TaskRun task, ClockReading now) {
         StepRun step = task.step;
         TaskRun counter = step.spec.mode().gang() ? step.tasks.get(0) : task;
         if (step.failedRun != task.lastRun || !step.spec.mode().gang()) {
@@ -112,15 +112,15 @@
         boolean spent = !step.spec.mode().lasting()
                 && counter.failures >= job.job.terms().attempts();
         over(task, now);
-        if (spent && !job.state.terminal()) {
-            job.end(JobState.FAILED, now.millis());
+        if (spent && !job.state.isTerminal()) {
+            job.end(JobState.FAILED, now.wallClockMillis());
             stopAll(job, now);
             LOG.infof("fail: request=%s task=%s failures=%s", job.job.id(), task.id, counter.failures);
         }
     }
 
     /** Takes the run off its target; the task waits again, and the rest of its gang stops. */
-    void over(TaskRun task, Moment now) {
+    void over(TaskRun task, ClockReading now) {
         boolean ran = task.phase.occupies();
         release(task, Phase.WAITING);
         outbox.changed(task.step.job);
@@ -135,13 +135,13 @@
     }
 
     /** Stops every run of {@code job} and gives back what it was promised. */
-    void stopAll(JobRun job, Moment now) {
+    void stopAll(JobRun job, ClockReading now) {
         suspicion.forget(job.job.id());
         job.tasks().forEach(task -> withdraw(task, now));
     }
 
     /** Gives back what the task was promised, or stops its run unless that was done. */
-    private void withdraw(TaskRun task, Moment now) {
+    private void withdraw(TaskRun task, ClockReading now) {
         if (task.phase == Phase.ASSIGNED) {
             unassign(task);
         } else if (task.phase == Phase.STARTING || task.phase == Phase.RUNNING) {
@@ -155,14 +155,14 @@
     }
 
     /** Tells the target to stop the task's run. */
-    void stop(TaskRun task, Moment now) {
-        task.stopNanos = now.nanos();
+    void stop(TaskRun task, ClockReading now) {
+        task.stopNanos = now.monotonicNanos();
         task.target.put(task, Phase.STOPPING);
         outbox.stop(task.target.id, task.incarnation, task.id, task.lastRun);
     }
 
     /** Stops a run that makes no progress, so that it goes on elsewhere. */
-    void stopIfStuck(TaskRun task, Moment now) {
+    void stopIfStuck(TaskRun task, ClockReading now) {
         Step step = task.step.spec;
         if (step.mode().lasting() || step.mode().filling() || task.percent >= ALL_DONE_PERCENT) {
             return;
@@ -184,7 +184,7 @@
     }
 
     /** A slow target gets no new work for a while; urgent work, and work that saves its progress, goes on elsewhere. */
-    private void moveOffSlow(TaskRun task, Moment now) {
+    private void moveOffSlow(TaskRun task, ClockReading now) {
         boolean mayMove =
                 task.job().terms().priority() == 0 || task.step.spec.mode().checkpoint();
         boolean moves = mayMove && task.endsSoonerElsewhere();
@@ -201,11 +201,11 @@
      * Stops work on a target that is about to leave, if it would not be done in time and saves its progress: it goes on
      * elsewhere from there instead of being lost.
      */
-    void moveOff(TargetRun target, Moment now) {
-        if (target.info == null || !target.info.draining() || target.info.leavesNanos() == 0) {
+    void moveOff(TargetRun target, ClockReading now) {
+        if (target.info == null || !target.info.draining() || target.info.departureNanos() == 0) {
             return;
         }
-        double left = -now.secondsSince(target.info.leavesNanos());
+        double left = -now.secondsSince(target.info.departureNanos());
         if (left > MOVE_OFF_SECONDS) {
             return;
         }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Job.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Job.java
@@ -55,7 +55,7 @@
     }
 
     /** Returns how often the steps run. */
-    public int occurrences() {
+    public int occurrenceCount() {
         return Math.max(1, schedule.times());
     }
 
--- a/acacia-pool/src/main/java/org/acaciaport/pool/JobRun.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/JobRun.java
@@ -61,7 +61,7 @@
         for (int done : doneOccurrences) {
             next = Math.max(next, done + 1);
         }
-        while (next < job.occurrences() && job.dueMillis(next) <= nowMillis) {
+        while (next < job.occurrenceCount() && job.dueMillis(next) <= nowMillis) {
             occurrence(next);
             next++;
         }
@@ -71,7 +71,7 @@
     void close(int occurrence, long nowMillis) {
         open.remove(occurrence);
         doneOccurrences.add(occurrence);
-        if (doneOccurrences.size() == job.occurrences()) {
+        if (doneOccurrences.size() == job.occurrenceCount()) {
             end(JobState.DONE, nowMillis);
         }
     }
@@ -111,7 +111,7 @@
                     placed ? task.incarnation : 0,
                     task.phase == Phase.DONE ? "" : task.saved));
         }
-        boolean ended = state.terminal();
+        boolean ended = state.isTerminal();
         return new JobProgress(
                 job.id(), state, endedMillis, ended ? List.of() : List.copyOf(doneOccurrences), keep(tasks, ended));
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/JobState.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/JobState.java
@@ -14,7 +14,7 @@
     CANCELLED;
 
     /** Returns whether it stays so. */
-    public boolean terminal() {
+    public boolean isTerminal() {
         return this == DONE || this == FAILED || this == CANCELLED;
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Outbox.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Outbox.java
@@ -15,9 +15,9 @@
  */
 final class Outbox {
     private final Set<JobRun> changed = new LinkedHashSet<>();
-    private final List<Order.Start> starts = new ArrayList<>();
+    private final List<TargetCommand.Start> starts = new ArrayList<>();
     private final Map<String, Batch.Acknowledgement> acknowledgements = new HashMap<>();
-    private final List<Order.Stop> stops = new ArrayList<>();
+    private final List<TargetCommand.Stop> stops = new ArrayList<>();
 
     void changed(JobRun job) {
         changed.add(job);
@@ -25,7 +25,7 @@
 
     void start(TaskRun task) {
         changed(task.step.job);
-        starts.add(new Order.Start(
+        starts.add(new TargetCommand.Start(
                 task.target.id,
                 task.incarnation,
                 task.id,
@@ -35,7 +35,7 @@
     }
 
     void stop(String target, long incarnation, TaskId task, int run) {
-        stops.add(new Order.Stop(target, incarnation, task, run));
+        stops.add(new TargetCommand.Stop(target, incarnation, task, run));
     }
 
     void acknowledge(String target, long incarnation, long upTo) {
@@ -54,8 +54,8 @@
         return batch;
     }
 
-    List<Order.Stop> takeStops() {
-        List<Order.Stop> taken = List.copyOf(stops);
+    List<TargetCommand.Stop> takeStops() {
+        List<TargetCommand.Stop> taken = List.copyOf(stops);
         stops.clear();
         return taken;
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Placement.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Placement.java
@@ -28,7 +28,7 @@
                 && target.registered
                 && target.info.incarnation() == target.incarnation
                 && !target.info.draining()
-                && !settings.evacuated().contains(target.info.dataCentre())
+                && !settings.evacuatedDataCentres().contains(target.info.dataCentre())
                 && target.avoidUntilNanos <= now;
     }
 
@@ -39,7 +39,7 @@
         }
         String label = step.constraints().label();
         return (label.isEmpty() || target.info.labels().contains(label))
-                && step.charged().fitsIn(target.capacity());
+                && step.chargedResources().fitsIn(target.capacity());
     }
 
     /**
@@ -96,7 +96,7 @@
         if (limit > 0) {
             most = Math.min(most, limit - present(unit.step(), target));
         }
-        return most <= 0 ? 0 : unit.demand().timesIn(room, most);
+        return most <= 0 ? 0 : unit.demand().countFitting(room, most);
     }
 
     private static int present(StepRun step, TargetRun target) {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/PlacementPass.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PlacementPass.java
@@ -61,12 +61,16 @@
     private final Collection<TargetRun> targets;
     private final Placement placement;
     private final Accounts accounts;
-    private final Moment now;
+    private final ClockReading now;
     private final Set<Shape> full = new HashSet<>();
     private int setAside;
 
     PlacementPass(
-            Parts parts, Collection<JobRun> jobs, Collection<TargetRun> targets, PoolSettings settings, Moment now) {
+            Parts parts,
+            Collection<JobRun> jobs,
+            Collection<TargetRun> targets,
+            PoolSettings settings,
+            ClockReading now) {
         this.parts = parts;
         this.jobs = jobs;
         this.targets = targets;
@@ -90,7 +94,7 @@
     void run() {
         List<Unit> waiting = new ArrayList<>();
         for (JobRun job : jobs) {
-            if (!job.state.terminal()) {
+            if (!job.state.isTerminal()) {
                 collect(job, waiting);
             }
         }
@@ -105,21 +109,21 @@
         return Comparator.comparingInt(Unit::priority)
                 .thenComparing(unit ->
                         unit.priority() == 0 && !accounts.within(unit.job().account()))
-                .thenComparing(unit -> unit.step().job.objective.outlook(unit.step().occurrence, now.millis()))
+                .thenComparing(unit -> unit.step().job.objective.outlook(unit.step().occurrence, now.wallClockMillis()))
                 .thenComparingLong(unit -> unit.step().slackMillis(now))
                 .thenComparing(unit -> unit.job().id());
     }
 
     private void collect(JobRun job, List<Unit> waiting) {
-        job.beginDue(now.millis());
+        job.beginDue(now.wallClockMillis());
         for (List<StepRun> steps : job.open()) {
             for (StepRun step : steps) {
                 if (step.done() || !mayRun(step, steps)) {
                     continue;
                 }
                 if (step.readyNanos == 0) {
-                    step.readyNanos = now.nanos();
-                    step.searchAgainNanos = now.nanos();
+                    step.readyNanos = now.monotonicNanos();
+                    step.searchAgainNanos = now.monotonicNanos();
                 }
                 collect(step, waiting);
             }
@@ -159,12 +163,12 @@
         if (plain && full.contains(shape)) {
             return;
         }
-        Map<String, List<TargetRun>> racks = placement.racks(unit, now.nanos());
+        Map<String, List<TargetRun>> racks = placement.racks(unit, now.monotonicNanos());
         racks.values()
                 .forEach(rack -> rack.removeIf(
                         target -> parts.suspicion().shuns(unit.job().id(), target, targets)));
         List<Tier> tiers = Tier.of(unit, racks, overdueClaim(unit), waited(unit));
-        boolean search = now.nanos() - unit.step().searchAgainNanos >= 0;
+        boolean search = now.monotonicNanos() - unit.step().searchAgainNanos >= 0;
         for (Tier tier : tiers) {
             if (placeFree(unit, tier) || search && (waitForEnds(unit, tier) || stopOthers(unit, tier))) {
                 return;
@@ -256,7 +260,8 @@
 
     /** Returns the work that may be lost so that a unit beyond its guarantee runs at once, in core-seconds. */
     private static double affordableLoss(Unit unit) {
-        double work = unit.size() * unit.demand().cores() * unit.step().spec.estimateSeconds();
+        double work =
+                unit.size() * unit.demand().coreEquivalents() * unit.step().spec.estimateSeconds();
         return Math.max(LOSS_FOR_ANY, MOST_LOSS * work);
     }
 
@@ -319,7 +324,7 @@
     }
 
     private void assign(Unit unit, List<TargetRun> places, String why) {
-        unit.step().promiseEndsNanos = now.nanos();
+        unit.step().promiseEndsNanos = now.monotonicNanos();
         for (int i = 0; i < unit.size(); i++) {
             places.get(i).put(unit.tasks().get(i), Phase.ASSIGNED);
         }
@@ -328,7 +333,7 @@
                 unit.job().id(),
                 unit.step().number,
                 unit.size(),
-                unit.demand().cores(),
+                unit.demand().coreEquivalents(),
                 unit.job().account(),
                 places.get(0).id,
                 why,
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Pool.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Pool.java
@@ -68,7 +68,7 @@
     }
 
     /** Adds a job with its durable progress. Its runs may still be there until reports tell. */
-    public void restore(Job job, JobProgress progress, Moment now) {
+    public void restore(Job job, JobProgress progress, ClockReading now) {
         JobRun run = new JobRun(job);
         run.state = progress.state();
         run.endedMillis = progress.endedMillis();
@@ -79,7 +79,7 @@
         }
     }
 
-    private void restore(JobRun run, JobProgress.Task saved, Moment now) {
+    private void restore(JobRun run, JobProgress.Task saved, ClockReading now) {
         StepRun step = run.occurrence(saved.occurrence()).get(saved.step());
         TaskRun task = step.tasks.get(saved.index());
         task.lastRun = saved.lastRun();
@@ -91,26 +91,26 @@
         } else if (!saved.target().isEmpty()) {
             TargetRun target = targets.computeIfAbsent(saved.target(), TargetRun::new);
             task.incarnation = saved.incarnation();
-            task.confirmedNanos = now.nanos();
-            task.advancedNanos = now.nanos();
-            target.put(task, run.state.terminal() ? Phase.STOPPING : Phase.RUNNING);
+            task.confirmedNanos = now.monotonicNanos();
+            task.advancedNanos = now.monotonicNanos();
+            target.put(task, run.state.isTerminal() ? Phase.STOPPING : Phase.RUNNING);
         }
     }
 
     /** Cancels a job, unless it has ended. */
-    public void cancel(String id, Moment now) {
+    public void cancel(String id, ClockReading now) {
         JobRun job = jobs.get(id);
-        if (job == null || job.state.terminal()) {
+        if (job == null || job.state.isTerminal()) {
             return;
         }
-        job.end(JobState.CANCELLED, now.millis());
+        job.end(JobState.CANCELLED, now.wallClockMillis());
         ends.stopAll(job, now);
         outbox.changed(job);
         LOG.infof("cancel: request=%s outcome=stopping", id);
     }
 
     /** Takes note of what a target said. Reports of an earlier life than the newest known are ignored. */
-    public void report(TargetReport report, Moment now) {
+    public void handleReport(TargetReport report, ClockReading now) {
         TargetRun target = targets.computeIfAbsent(report.target(), TargetRun::new);
         if (report.incarnation() < target.incarnation) {
             return;
@@ -138,7 +138,7 @@
         }
     }
 
-    private void running(TargetRun target, TargetReport report, Moment now) {
+    private void running(TargetRun target, TargetReport report, ClockReading now) {
         Set<TaskId> seen = new HashSet<>();
         target.strays = Resources.NONE;
         for (TargetReport.Running run : report.running()) {
@@ -152,7 +152,7 @@
         }
         for (TaskRun task : List.copyOf(target.occupants.values())) {
             boolean known = task.phase == Phase.RUNNING || task.phase == Phase.STOPPING;
-            boolean confirmed = task.confirmedNanos != 0 && task.confirmedNanos < report.askedNanos();
+            boolean confirmed = task.confirmedNanos != 0 && task.confirmedNanos < report.requestNanos();
             if (known && confirmed && !seen.contains(task.id)) {
                 LOG.infof(
                         "run: request=%s task=%s run=%s target=%s outcome=absent",
@@ -172,9 +172,9 @@
         outbox.stop(target.id, target.incarnation, run.task(), run.run());
     }
 
-    private void progress(TargetRun target, TaskRun task, TargetReport.Running run, Moment now) {
-        if (!run.saved().isEmpty()) {
-            ends.save(task, run.saved());
+    private void progress(TargetRun target, TaskRun task, TargetReport.Running run, ClockReading now) {
+        if (!run.checkpoint().isEmpty()) {
+            ends.save(task, run.checkpoint());
         }
         if (task.phase == Phase.STARTING) {
             confirm(target, task, now);
@@ -185,19 +185,19 @@
             }
             return;
         }
-        task.advance(run.percent(), now.nanos());
+        task.advance(run.percent(), now.monotonicNanos());
         ends.stopIfStuck(task, now);
     }
 
-    private void confirm(TargetRun target, TaskRun task, Moment now) {
-        task.begin(now.nanos());
+    private void confirm(TargetRun target, TaskRun task, ClockReading now) {
+        task.begin(now.monotonicNanos());
         if (task.phase == Phase.STARTING) {
             target.put(task, Phase.RUNNING);
         }
     }
 
     /** Takes note that a target confirmed a start. */
-    public void started(Order.Start start, Moment now) {
+    public void handleStarted(TargetCommand.Start start, ClockReading now) {
         TaskRun task = current(start);
         if (task != null && task.confirmedNanos == 0) {
             confirm(task.target, task, now);
@@ -209,12 +209,12 @@
      *
      * @param avoidMillis time in which no new work goes to that target, in milliseconds
      */
-    public void notStarted(Order.Start start, String reason, long avoidMillis, Moment now) {
+    public void handleStartFailure(TargetCommand.Start start, String reason, long avoidMillis, ClockReading now) {
         TaskRun task = current(start);
         LOG.infof(
                 "start: request=%s task=%s run=%s target=%s outcome=refused reason=%s",
                 start.task().job(), start.task(), start.run(), start.target(), reason);
-        avoid(start.target(), avoidMillis, now);
+        exclude(start.target(), avoidMillis, now);
         if (task != null) {
             ends.over(task, now);
         }
@@ -226,7 +226,7 @@
         return job == null ? null : job.task(id);
     }
 
-    private TaskRun current(Order.Start start) {
+    private TaskRun current(TargetCommand.Start start) {
         TaskRun task = find(start.task());
         boolean same = task != null
                 && task.phase.occupies()
@@ -236,7 +236,7 @@
     }
 
     /** Sends no new work to a target for {@code millis} milliseconds. */
-    public void avoid(String id, long millis, Moment now) {
+    public void exclude(String id, long millis, ClockReading now) {
         TargetRun target = targets.get(id);
         if (target != null && millis > 0) {
             Suspicion.avoid(target, now.nanosAfter(millis));
@@ -244,7 +244,7 @@
     }
 
     /** Takes note that nothing sent to this target so far runs any more. */
-    public void lapsed(String id, Moment now) {
+    public void handleLeaseExpiry(String id, ClockReading now) {
         TargetRun target = targets.get(id);
         if (target == null) {
             return;
@@ -257,14 +257,14 @@
         }
     }
 
-    private void reborn(TargetRun target, long incarnation, Moment now) {
+    private void reborn(TargetRun target, long incarnation, ClockReading now) {
         if (incarnation <= target.incarnation) {
             return;
         }
         target.incarnation = incarnation;
         target.strays = Resources.NONE;
         target.strikes = 0;
-        target.avoidUntilNanos = now.nanos();
+        target.avoidUntilNanos = now.monotonicNanos();
         for (TaskRun task : List.copyOf(target.occupants.values())) {
             if (task.phase == Phase.ASSIGNED || task.incarnation < incarnation) {
                 ends.over(task, now);
@@ -273,7 +273,7 @@
     }
 
     /** Decides what runs next. */
-    public void schedule(Moment now) {
+    public void schedule(ClockReading now) {
         targets.values().forEach(target -> ends.moveOff(target, now));
         new PlacementPass(parts, jobs.values(), targets.values(), settings, now).run();
     }
@@ -284,12 +284,12 @@
     }
 
     /** Returns the stops to send. */
-    public List<Order.Stop> takeStops() {
+    public List<TargetCommand.Stop> takeStops() {
         return outbox.takeStops();
     }
 
     /** Returns the targets that may run something that was sent to them. */
-    public Collection<String> occupied() {
+    public Collection<String> occupiedTargets() {
         List<String> ids = new ArrayList<>();
         for (TargetRun target : targets.values()) {
             if (target.occupants.values().stream().anyMatch(task -> task.phase.occupies())) {
@@ -300,10 +300,10 @@
     }
 
     /** Returns the jobs that ended before {@code millis}, in milliseconds since 1970, with no run left. */
-    public List<String> endedBefore(long millis) {
+    public List<String> jobsEndedBefore(long millis) {
         List<String> ids = new ArrayList<>();
         for (JobRun job : jobs.values()) {
-            if (job.state.terminal()
+            if (job.state.isTerminal()
                     && job.endedMillis < millis
                     && job.tasks().stream().noneMatch(task -> task.phase.occupies())) {
                 ids.add(job.job.id());
@@ -313,7 +313,7 @@
     }
 
     /** Drops a job that has ended. */
-    public void forget(String id) {
+    public void removeJob(String id) {
         jobs.remove(id);
         suspicion.forget(id);
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/PoolSettings.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PoolSettings.java
@@ -9,17 +9,17 @@
  * <p>Immutable.
  *
  * @param guarantees guaranteed accelerators of each client account
- * @param evacuated data centres that take no new work
+ * @param evacuatedDataCentres data centres that take no new work
  * @param services names of the services that exist
  */
-public record PoolSettings(Map<String, Long> guarantees, Set<String> evacuated, Set<String> services) {
+public record PoolSettings(Map<String, Long> guarantees, Set<String> evacuatedDataCentres, Set<String> services) {
     /** Nothing configured yet. */
     public static final PoolSettings EMPTY = new PoolSettings(Map.of(), Set.of(), Set.of());
 
     /** Copies the collections. */
     public PoolSettings {
         guarantees = Map.copyOf(guarantees);
-        evacuated = Set.copyOf(evacuated);
+        evacuatedDataCentres = Set.copyOf(evacuatedDataCentres);
         services = Set.copyOf(services);
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Resources.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Resources.java
@@ -34,7 +34,7 @@
     }
 
     /** Returns how many times this fits into {@code room}, at most {@code most}. */
-    public int timesIn(Resources room, int most) {
+    public int countFitting(Resources room, int most) {
         long times = most;
         if (cpuMillis > 0) {
             times = Math.min(times, room.cpuMillis / cpuMillis);
@@ -49,7 +49,7 @@
     }
 
     /** Returns this as a number of cores, an accelerator counting as {@value #CORES_PER_ACCELERATOR}. */
-    public double cores() {
+    public double coreEquivalents() {
         return cpuMillis / MILLIS_PER_CORE + accelerators * CORES_PER_ACCELERATOR;
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Starts.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Starts.java
@@ -13,9 +13,9 @@
 final class Starts {
     private final PlacementPass.Parts parts;
     private final Placement placement;
-    private final Moment now;
+    private final ClockReading now;
 
-    Starts(PlacementPass.Parts parts, Placement placement, Moment now) {
+    Starts(PlacementPass.Parts parts, Placement placement, ClockReading now) {
         this.parts = parts;
         this.placement = placement;
         this.now = now;
@@ -24,7 +24,7 @@
     /** Starts every unit that has all the room it was promised. */
     void run(Collection<JobRun> jobs) {
         for (JobRun job : jobs) {
-            if (job.state.terminal()) {
+            if (job.state.isTerminal()) {
                 continue;
             }
             for (List<StepRun> steps : job.open()) {
@@ -56,7 +56,7 @@
         Map<TargetRun, Resources> room = new HashMap<>();
         boolean enough = true;
         for (TaskRun task : unit.tasks()) {
-            if (!placement.allowed(unit, task.target, now.nanos())) {
+            if (!placement.allowed(unit, task.target, now.monotonicNanos())) {
                 unit.tasks().forEach(parts.ends()::unassign);
                 return;
             }
@@ -86,7 +86,7 @@
 
     /** A unit of the highest priority whose room does not come free chooses anew. */
     private void giveUpWaiting(Unit unit) {
-        if (unit.priority() != 0 || now.nanos() - unit.step().promiseEndsNanos < 0) {
+        if (unit.priority() != 0 || now.monotonicNanos() - unit.step().promiseEndsNanos < 0) {
             return;
         }
         for (TaskRun task : unit.tasks()) {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Step.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Step.java
@@ -58,7 +58,7 @@
     }
 
     /** Returns what one task takes from a target's capacity. */
-    public Resources charged() {
+    public Resources chargedResources() {
         return mode.filling() ? new Resources(0, demand.memoryMb(), demand.accelerators()) : demand;
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/StepRun.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/StepRun.java
@@ -62,8 +62,8 @@
     }
 
     /** Returns how long its occurrence can wait and still be done within its objective, in milliseconds. */
-    long slackMillis(Moment now) {
-        return job.objective.slackMillis(occurrence, now.millis());
+    long slackMillis(ClockReading now) {
+        return job.objective.slackMillis(occurrence, now.wallClockMillis());
     }
 
     boolean done() {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Suspicion.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Suspicion.java
@@ -23,7 +23,7 @@
     private final Map<String, Set<String>> failedOn = new HashMap<>();
 
     /** Takes note that a run of {@code job} failed on {@code target}. */
-    void failed(String job, TargetRun target, Moment now) {
+    void failed(String job, TargetRun target, ClockReading now) {
         Set<String> places = failedOn.computeIfAbsent(job, id -> new HashSet<>());
         boolean elsewhere = !places.isEmpty() && !places.equals(Set.of(target.id));
         places.add(target.id);
@@ -35,11 +35,11 @@
     }
 
     /** Takes note that a run stood still on {@code target}. */
-    void stuck(TargetRun target, Moment now) {
+    void stuck(TargetRun target, ClockReading now) {
         strike(target, now, STRIKES);
     }
 
-    private static void strike(TargetRun target, Moment now, int strikes) {
+    private static void strike(TargetRun target, ClockReading now, int strikes) {
         target.strikes += strikes;
         if (target.strikes < STRIKES) {
             return;
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Order.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetCommand.java
@@ -1,7 +1,7 @@
 package org.acaciaport.pool;
 
 /** What a target is told. */
-public sealed interface Order {
+public sealed interface TargetCommand {
     /** Returns the target. */
     String target();
 
@@ -18,11 +18,11 @@
      * Starts a run. Sent only once the record that names it is durable.
      *
      * @param payload text for the task
-     * @param saved checkpoint to go on from; empty for none
+     * @param checkpoint checkpoint to go on from; empty for none
      */
-    record Start(String target, long incarnation, TaskId task, int run, String payload, String saved)
-            implements Order {}
+    record Start(String target, long incarnation, TaskId task, int run, String payload, String checkpoint)
+            implements TargetCommand {}
 
     /** Stops a run, and bars it if it has not begun. */
-    record Stop(String target, long incarnation, TaskId task, int run) implements Order {}
+    record Stop(String target, long incarnation, TaskId task, int run) implements TargetCommand {}
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetInfo.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetInfo.java
@@ -15,7 +15,7 @@
  * @param labels its labels, the rack included
  * @param capacity what it offers
  * @param draining whether it is leaving and takes no new work
- * @param leavesNanos while it drains, a reading of the steady clock before which it does not leave; 0 if unknown
+ * @param departureNanos while it drains, a reading of the steady clock before which it does not leave; 0 if unknown
  * @param incarnation number of its current life, in milliseconds since 1970
  */
 public record TargetInfo(
@@ -27,7 +27,7 @@
         Set<String> labels,
         Resources capacity,
         boolean draining,
-        long leavesNanos,
+        long departureNanos,
         long incarnation) {
     /** Copies the set. */
     public TargetInfo {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetReport.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetReport.java
@@ -9,11 +9,12 @@
  *
  * @param target its id
  * @param incarnation its current life
- * @param askedNanos reading of the steady clock before the question was sent
+ * @param requestNanos reading of the steady clock before the question was sent
  * @param running runs that are there
  * @param ended ends that were not yet acknowledged, in order
  */
-public record TargetReport(String target, long incarnation, long askedNanos, List<Running> running, List<Ended> ended) {
+public record TargetReport(
+        String target, long incarnation, long requestNanos, List<Running> running, List<Ended> ended) {
     /** Copies the lists. */
     public TargetReport {
         running = List.copyOf(running);
@@ -25,10 +26,10 @@
      *
      * @param task the task
      * @param run number of the start
-     * @param saved newest checkpoint; empty if there is none
+     * @param checkpoint newest checkpoint; empty if there is none
      * @param percent how much of its work is done, 0 to 100
      */
-    public record Running(TaskId task, int run, String saved, int percent) {}
+    public record Running(TaskId task, int run, String checkpoint, int percent) {}
 
     /**
      * A run that is over.
@@ -36,13 +37,13 @@
      * @param number position in the target's list of ends, from 1
      * @param task the task
      * @param run number of the start
-     * @param how how it ended
-     * @param saved checkpoint to go on from; empty if there is none
+     * @param reason how it ended
+     * @param checkpoint checkpoint to go on from; empty if there is none
      */
-    public record Ended(long number, TaskId task, int run, How how, String saved) {}
+    public record Ended(long number, TaskId task, int run, EndReason reason, String checkpoint) {}
 
     /** How a run ended. */
-    public enum How {
+    public enum EndReason {
         /** It finished its work. */
         DONE,
         /** It failed. */
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TaskRun.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TaskRun.java
@@ -76,7 +76,7 @@
     }
 
     /** Returns whether the newest run is much slower than estimated, once its rate is known. */
-    boolean crawls(Moment now) {
+    boolean crawls(ClockReading now) {
         boolean observed = now.secondsSince(confirmedNanos) >= LEAST_OBSERVED_SECONDS;
         if (gained() < 1 || !observed || step.farApart(this)) {
             return false;
@@ -101,7 +101,7 @@
     }
 
     /** Returns the time that the newest run still needs, in seconds, by its rate or else by the estimate. */
-    double secondsLeft(Moment now) {
+    double secondsLeft(ClockReading now) {
         if (gained() < LEAST_GAIN_PERCENT) {
             return Math.max(0, step.spec.estimateSeconds() - now.secondsSince(confirmedNanos));
         }
@@ -119,7 +119,7 @@
     }
 
     Resources demand() {
-        return step.spec.charged();
+        return step.spec.chargedResources();
     }
 
     Job job() {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Unit.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Unit.java
@@ -20,7 +20,7 @@
     }
 
     Resources demand() {
-        return step.spec.charged();
+        return step.spec.chargedResources();
     }
 
     int size() {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Victims.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Victims.java
@@ -36,11 +36,11 @@
     private final Unit unit;
     private final List<TargetRun> scope;
     private final Cost cost;
-    private final Moment now;
+    private final ClockReading now;
     private final Map<TargetRun, Resources> freed = new HashMap<>();
     private final Set<Victim> chosen = new LinkedHashSet<>();
 
-    private Victims(Unit unit, List<TargetRun> scope, Cost cost, Moment now) {
+    private Victims(Unit unit, List<TargetRun> scope, Cost cost, ClockReading now) {
         this.unit = unit;
         this.scope = scope;
         this.cost = cost;
@@ -68,7 +68,7 @@
     private record Victim(List<TaskRun> tasks, double loss) {}
 
     /** Returns the choice among {@code scope}, or null if stopping all that is allowed is not enough. */
-    static Choice find(Unit unit, List<TargetRun> scope, Predicate<TaskRun> allowed, Cost cost, Moment now) {
+    static Choice find(Unit unit, List<TargetRun> scope, Predicate<TaskRun> allowed, Cost cost, ClockReading now) {
         return new Victims(unit, scope, cost, now).search(allowed);
     }
 
@@ -151,7 +151,7 @@
         boolean saves = task.step.spec.mode().checkpoint();
         double lost = saves ? Math.min(seconds, CHECKPOINTED_LOSS_SECONDS) : seconds;
         double cost = lost + delayLoss(task, seconds);
-        return task.demand().cores() * cost * weight(task);
+        return task.demand().coreEquivalents() * cost * weight(task);
     }
 
     /** Returns how dear the loss of a task's work is; urgent work has little to spare, so a stop makes it late. */
@@ -199,7 +199,8 @@
         double part = 0;
         for (TaskRun task : victim.tasks) {
             if (touched.contains(task.target)) {
-                part += task.demand().cores() / Math.max(1, unit.demand().cores());
+                part += task.demand().coreEquivalents()
+                        / Math.max(1, unit.demand().coreEquivalents());
             }
         }
         return after - before + PART_GAIN * part;
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
@@ -15,16 +15,16 @@
     static final Resources TARGET = new Resources(32_000, 64_000, 8);
 
     final Pool pool = new Pool();
-    final Map<TaskId, Order.Start> running = new HashMap<>();
-    final List<Order.Start> starts = new ArrayList<>();
-    final List<Order.Stop> stops = new ArrayList<>();
+    final Map<TaskId, TargetCommand.Start> running = new HashMap<>();
+    final List<TargetCommand.Start> starts = new ArrayList<>();
+    final List<TargetCommand.Stop> stops = new ArrayList<>();
     final Map<String, JobProgress> durable = new HashMap<>();
     private final Map<String, Long> ends = new HashMap<>();
     private final Map<String, Long> lives = new HashMap<>();
     private long millis = 1_000_000;
 
-    Moment now() {
-        return new Moment(millis * 1_000_000, millis);
+    ClockReading now() {
+        return new ClockReading(millis * 1_000_000, millis);
     }
 
     /** Adds a target and lets it report once. */
@@ -75,29 +75,29 @@
     /** Decides, makes durable, and lets the targets confirm starts. */
     void settle() {
         pool.schedule(now());
-        for (Order.Stop stop : pool.takeStops()) {
+        for (TargetCommand.Stop stop : pool.takeStops()) {
             stops.add(stop);
         }
         Batch batch = pool.takeBatch();
         batch.records().forEach(record -> durable.put(record.id(), record));
-        for (Order.Start start : batch.starts()) {
+        for (TargetCommand.Start start : batch.starts()) {
             starts.add(start);
             running.put(start.task(), start);
-            pool.started(start, now());
+            pool.handleStarted(start, now());
         }
     }
 
     /** The target lists the end of every run that was told to stop. */
     void obeyStops() {
-        List<Order.Stop> told = List.copyOf(stops);
+        List<TargetCommand.Stop> told = List.copyOf(stops);
         stops.clear();
-        told.forEach(stop -> end(stop.task(), TargetReport.How.STOPPED));
+        told.forEach(stop -> end(stop.task(), TargetReport.EndReason.STOPPED));
         settle();
     }
 
     /** A running task ends. */
-    void end(TaskId task, TargetReport.How how) {
-        Order.Start start = running.remove(task);
+    void end(TaskId task, TargetReport.EndReason how) {
+        TargetCommand.Start start = running.remove(task);
         if (start == null) {
             return;
         }
@@ -108,15 +108,15 @@
 
     void report(String target, TargetReport.Ended... ended) {
         millis++;
-        long asked = now().nanos();
+        long asked = now().monotonicNanos();
         millis++;
-        pool.report(new TargetReport(target, lives.get(target), asked, runningOn(target), List.of(ended)), now());
+        pool.handleReport(new TargetReport(target, lives.get(target), asked, runningOn(target), List.of(ended)), now());
     }
 
     /** A target reports one run, {@code percent} done. */
-    void progress(Order.Start start, int percent) {
+    void progress(TargetCommand.Start start, int percent) {
         TargetReport.Running run = new TargetReport.Running(start.task(), start.run(), "", percent);
-        pool.report(new TargetReport(start.target(), 1, now().nanos(), List.of(run), List.of()), now());
+        pool.handleReport(new TargetReport(start.target(), 1, now().monotonicNanos(), List.of(run), List.of()), now());
     }
 
     /** The target starts again under its id, with nothing running. */
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolLoad.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolLoad.java
@@ -65,7 +65,7 @@
 
     /** A run on a target; a gang progresses from the moment when all its members are there. */
     private static final class Running {
-        Order.Start start;
+        TargetCommand.Start start;
         double from;
         long sinceMillis = -1;
         double seconds;
@@ -99,8 +99,8 @@
         events.add(new Event(when, numbers++, action));
     }
 
-    private Moment now() {
-        return new Moment((millis + 1) * 1_000_000, millis);
+    private ClockReading now() {
+        return new ClockReading((millis + 1) * 1_000_000, millis);
     }
 
     private void prepare() {
@@ -153,7 +153,7 @@
             pool.takeStops().forEach(stop -> at(millis + STOP_MILLIS, () -> stopped(stop)));
             Batch batch = pool.takeBatch();
             batch.records().forEach(this::note);
-            for (Order.Start start : batch.starts()) {
+            for (TargetCommand.Start start : batch.starts()) {
                 at(millis + START_MILLIS, () -> started(start));
             }
             tick(untilMillis);
@@ -166,14 +166,14 @@
         }
     }
 
-    private void started(Order.Start start) {
+    private void started(TargetCommand.Start start) {
         Asked asked = jobs.get(start.task().job());
         Step step = asked.drawn().job().steps().get(start.task().step());
         Running run = new Running();
         run.start = start;
-        run.from = start.saved().isEmpty() ? 0 : Double.parseDouble(start.saved());
+        run.from = start.checkpoint().isEmpty() ? 0 : Double.parseDouble(start.checkpoint());
         running.put(start.task(), run);
-        pool.started(start, now());
+        pool.handleStarted(start, now());
         List<Running> together = together(start, step);
         if (together.isEmpty()) {
             return;
@@ -190,7 +190,7 @@
     }
 
     /** Returns the runs that begin to work now that {@code start} is there: its whole gang, itself, or none yet. */
-    private List<Running> together(Order.Start start, Step step) {
+    private List<Running> together(TargetCommand.Start start, Step step) {
         if (!step.mode().gang()) {
             return List.of(running.get(start.task()));
         }
@@ -212,11 +212,11 @@
 
     private void done(Running run) {
         if (running.get(run.start.task()) == run) {
-            end(run, TargetReport.How.DONE, "");
+            end(run, TargetReport.EndReason.DONE, "");
         }
     }
 
-    private void stopped(Order.Stop stop) {
+    private void stopped(TargetCommand.Stop stop) {
         Running run = running.get(stop.task());
         if (run == null || run.start.run() != stop.run()) {
             return;
@@ -229,12 +229,12 @@
         double reached = run.progress(millis);
         boolean saves = step.mode().checkpoint();
         if (!saves) {
-            wasted += (reached - run.from) * run.seconds * step.demand().cores();
+            wasted += (reached - run.from) * run.seconds * step.demand().coreEquivalents();
         }
-        end(run, TargetReport.How.STOPPED, saves ? Double.toString(reached) : "");
+        end(run, TargetReport.EndReason.STOPPED, saves ? Double.toString(reached) : "");
     }
 
-    private void end(Running run, TargetReport.How how, String saved) {
+    private void end(Running run, TargetReport.EndReason how, String saved) {
         running.remove(run.start.task());
         long number = ends.merge(run.start.target(), 1L, Long::sum);
         report(
@@ -255,7 +255,7 @@
                 list.add(new TargetReport.Running(run.start.task(), run.start.run(), "", percent));
             }
         }
-        pool.report(new TargetReport(target, 1, now().nanos() - 1, list, ended), now());
+        pool.handleReport(new TargetReport(target, 1, now().monotonicNanos() - 1, list, ended), now());
     }
 
     private Figures figures() {
@@ -289,7 +289,9 @@
         double sum = 0;
         for (int i = 0; i < asked.drawn().seconds().length; i++) {
             Step step = asked.drawn().job().steps().get(i);
-            sum += step.count() * step.demand().cores() * asked.drawn().seconds()[i];
+            sum += step.count()
+                    * step.demand().coreEquivalents()
+                    * asked.drawn().seconds()[i];
         }
         return sum;
     }
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolTest.java
@@ -33,12 +33,12 @@
         Step second = new Step(1, new Resources(1, 1, 1), 10, List.of(0), Step.Constraints.NONE, Step.Mode.PLAIN);
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(2, 1), second));
         assertThat(fixture.starts).hasSize(2);
-        fixture.end(PoolFixture.task("a", 0), TargetReport.How.DONE);
+        fixture.end(PoolFixture.task("a", 0), TargetReport.EndReason.DONE);
         assertThat(fixture.starts).hasSize(2);
-        fixture.end(PoolFixture.task("a", 1), TargetReport.How.DONE);
+        fixture.end(PoolFixture.task("a", 1), TargetReport.EndReason.DONE);
         assertThat(fixture.starts).hasSize(3);
         assertThat(state("a")).isEqualTo(JobState.RUNNING);
-        fixture.end(new TaskId("a", 0, 1, 0), TargetReport.How.DONE);
+        fixture.end(new TaskId("a", 0, 1, 0), TargetReport.EndReason.DONE);
         assertThat(state("a")).isEqualTo(JobState.DONE);
     }
 
@@ -83,7 +83,7 @@
         fixture.target("t1", "r1");
         fixture.target("t2", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.gang(2, 8, false)));
-        fixture.end(PoolFixture.task("a", 1), TargetReport.How.DONE);
+        fixture.end(PoolFixture.task("a", 1), TargetReport.EndReason.DONE);
         assertThat(state("a")).isEqualTo(JobState.DONE);
     }
 
@@ -94,12 +94,12 @@
         fixture.target("t3", "r1");
         fixture.target("t4", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.gang(2, 8, false)));
-        fixture.end(PoolFixture.task("a", 0), TargetReport.How.FAILED);
+        fixture.end(PoolFixture.task("a", 0), TargetReport.EndReason.FAILED);
         assertThat(fixture.stops).hasSize(1);
-        fixture.end(PoolFixture.task("a", 1), TargetReport.How.FAILED);
+        fixture.end(PoolFixture.task("a", 1), TargetReport.EndReason.FAILED);
         assertThat(state("a")).isNotEqualTo(JobState.FAILED);
         assertThat(fixture.starts).hasSize(4);
-        fixture.end(PoolFixture.task("a", 0), TargetReport.How.FAILED);
+        fixture.end(PoolFixture.task("a", 0), TargetReport.EndReason.FAILED);
         assertThat(state("a")).isEqualTo(JobState.FAILED);
     }
 
@@ -121,11 +121,11 @@
         fixture.target("t1", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(1, 8)));
         fixture.target("t2", "r1");
-        fixture.pool.avoid("t1", 1_000, fixture.now());
+        fixture.pool.exclude("t1", 1_000, fixture.now());
         fixture.pool.unregister("t1");
         fixture.pass(5_000);
         assertThat(fixture.starts).hasSize(1);
-        fixture.pool.lapsed("t1", fixture.now());
+        fixture.pool.handleLeaseExpiry("t1", fixture.now());
         fixture.settle();
         assertThat(fixture.starts).hasSize(2);
         assertThat(fixture.starts.get(1).target()).isEqualTo("t2");
@@ -142,7 +142,7 @@
         successor.target("t1", "r1");
         successor.settle();
         assertThat(successor.starts).isEmpty();
-        successor.end(PoolFixture.task("a", 0), TargetReport.How.DONE);
+        successor.end(PoolFixture.task("a", 0), TargetReport.EndReason.DONE);
         assertThat(successor.durable.get("a").state()).isEqualTo(JobState.DONE);
     }
 
@@ -163,10 +163,10 @@
     void aRunThatNobodyAskedForIsStopped() {
         fixture.target("t1", "r1");
         fixture.running.put(
-                PoolFixture.task("a", 0), new Order.Start("t1", 1, PoolFixture.task("a", 0), 7, "payload", ""));
+                PoolFixture.task("a", 0), new TargetCommand.Start("t1", 1, PoolFixture.task("a", 0), 7, "payload", ""));
         fixture.report("t1");
         fixture.settle();
-        assertThat(fixture.stops).containsExactly(new Order.Stop("t1", 1, PoolFixture.task("a", 0), 7));
+        assertThat(fixture.stops).containsExactly(new TargetCommand.Stop("t1", 1, PoolFixture.task("a", 0), 7));
     }
 
     @Test
--- a/acacia-pool/src/test/java/org/acaciaport/pool/SickTargetTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/SickTargetTest.java
@@ -76,7 +76,7 @@
 
     /** The newest run gains two percent each half second, so it takes five times its estimate. */
     private void crawl(int reports) {
-        Order.Start start = fixture.starts.get(fixture.starts.size() - 1);
+        TargetCommand.Start start = fixture.starts.get(fixture.starts.size() - 1);
         for (int i = 1; i <= reports; i++) {
             fixture.pass(500);
             fixture.progress(start, 2 * i);
@@ -89,7 +89,7 @@
         fixture.target("t1", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(1, 8)));
         fixture.target("t2", "r1");
-        Order.Start start = fixture.starts.get(0);
+        TargetCommand.Start start = fixture.starts.get(0);
         for (int i = 0; i < 8; i++) {
             fixture.pass(500);
             fixture.progress(start, 10);
