--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
@@ -42,10 +42,10 @@
  * <p>One thread decides; its queue is the order of events. Other threads read the published state without waiting. The
  * state is published before the commands that follow from it are carried out.
  */
-final class LeaderTerm implements AutoCloseable, TargetLink.Listener {
+final class LeaderTerm implements AutoCloseable, TargetSession.Listener {
     private static final Logger LOG = Logger.getLogger(LeaderTerm.class);
     private static final Logger INVARIANTS = Logger.getLogger(Invariants.class);
-    private static final long IDLE_MILLIS = 1_000;
+    private static final long MAX_IDLE_MILLIS = 1_000;
 
     private final long epoch;
     private final SchedulerSettings settings;
@@ -54,15 +54,15 @@
     private final LogReplica replica;
     private final TargetClient targets;
     private final Clock clock;
-    private final Answers answers;
+    private final RecentOutcomes outcomes;
     private final Explanations explanations;
-    private final LiveCells cells;
+    private final LeaderLiveness leaderLiveness;
     private final MetricRegistry metrics;
-    private final Timer decisions;
-    private final Runnable onDeposed;
+    private final Timer decisionTimer;
+    private final Runnable supersededCallback;
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
-    private final Map<String, TargetLink> links = new HashMap<>();
-    private final Map<String, Target> linked = new HashMap<>();
+    private final Map<String, TargetSession> sessions = new HashMap<>();
+    private final Map<String, Target> sessionTargets = new HashMap<>();
     private volatile CellState state;
     private volatile boolean open = true;
 
@@ -73,11 +73,11 @@
             LogReplica replica,
             TargetClient targets,
             Clock clock,
-            Answers answers,
+            RecentOutcomes outcomes,
             Explanations explanations,
-            LiveCells cells,
+            LeaderLiveness leaderLiveness,
             MetricRegistry metrics,
-            Runnable onDeposed) {
+            Runnable supersededCallback) {
         this.epoch = epoch;
         this.settings = settings;
         this.decider = decider;
@@ -85,28 +85,28 @@
         this.replica = replica;
         this.targets = targets;
         this.clock = clock;
-        this.answers = answers;
+        this.outcomes = outcomes;
         this.explanations = explanations;
-        this.cells = cells;
+        this.leaderLiveness = leaderLiveness;
         this.metrics = metrics;
-        this.decisions = metrics.timer("decide.time");
-        this.onDeposed = onDeposed;
+        this.decisionTimer = metrics.timer("decide.time");
+        this.supersededCallback = supersededCallback;
         state = CellState.initial(settings.vm().dataCentre(), epoch);
     }
 
     /** Takes up what the log says and begins to decide. */
-    void begin(Directory directory) {
-        event(new Event.Configured(directory.active()));
+    void start(Directory directory) {
+        onEvent(new Event.Configured(directory.active()));
         for (RequestEntry entry : directory.requests()) {
             if (entry.outcome() == null && entry.home().equals(settings.vm().dataCentre())) {
-                event(new Event.Recovered(entry.request(), intentOf(entry), entry.checkpointed()));
+                onEvent(new Event.Recovered(entry.request(), recoveredAttempt(entry), entry.checkpointed()));
             }
         }
         LOG.infof("lead: leading data-centre=%s epoch=%d", settings.vm().dataCentre(), epoch);
-        Thread.ofPlatform().name("decider-" + epoch).daemon().start(this::run);
+        Thread.ofPlatform().name("decider-" + epoch).daemon().start(this::processEvents);
     }
 
-    private static Optional<Attempt> intentOf(RequestEntry entry) {
+    private static Optional<Attempt> recoveredAttempt(RequestEntry entry) {
         return Optional.ofNullable(entry.intent()).map(i -> new Attempt(i.attempt(), i.members(), 0));
     }
 
@@ -120,31 +120,31 @@
     }
 
     @Override
-    public void event(Event event) {
+    public void onEvent(Event event) {
         queue.add(() -> decide(event));
     }
 
     @Override
-    public void deposed() {
-        onDeposed.run();
+    public void onSuperseded() {
+        supersededCallback.run();
     }
 
     @Override
-    public void task(Target target, TargetClient.Task task) {
-        queue.add(() -> report(target, task));
+    public void onTaskReport(Target target, TargetClient.Task task) {
+        queue.add(() -> reconcile(target, task));
     }
 
     @Override
     public void close() {
         open = false;
-        queue.add(() -> links.values().forEach(TargetLink::close));
+        queue.add(() -> sessions.values().forEach(TargetSession::close));
     }
 
-    private void run() {
+    private void processEvents() {
         while (open || !queue.isEmpty()) {
             try {
                 long next = state.nextTimer().orElse(Long.MAX_VALUE);
-                long wait = Math.max(0, Math.min(IDLE_MILLIS, next - clock.millis()));
+                long wait = Math.max(0, Math.min(MAX_IDLE_MILLIS, next - clock.millis()));
                 Runnable step = queue.poll(wait, TimeUnit.MILLISECONDS);
                 if (step != null) {
                     step.run();
@@ -167,7 +167,7 @@
         }
         CellState before = state;
         long now = clock.millis();
-        Decision decision = decisions.timeSupplier(() -> decider.decide(before, event, now));
+        Decision decision = decisionTimer.timeSupplier(() -> decider.decide(before, event, now));
         for (Violation violation : invariants.check(before, event, decision, now)) {
             INVARIANTS.errorf("invariant: broken %s, %s", violation.invariant(), violation.detail());
             metrics.counter("invariant.broken").inc();
@@ -178,28 +178,29 @@
             explanations.add(note);
         }
         if (event instanceof Event.Configured configured) {
-            link(configured.active());
+            openSessions(configured.active());
         }
-        decision.commands().forEach(this::carryOut);
+        decision.commands().forEach(this::execute);
     }
 
-    private void link(ActiveConfiguration active) {
+    private void openSessions(ActiveConfiguration active) {
         for (Target target : active.configuration().targetsOf(settings.vm().dataCentre())) {
-            if (target.equals(linked.get(target.id()))) {
+            if (target.equals(sessionTargets.get(target.id()))) {
                 continue;
             }
-            TargetLink previous = links.remove(target.id());
+            TargetSession previous = sessions.remove(target.id());
             if (previous != null) {
                 previous.close();
             }
-            TargetLink link = new TargetLink(target, epoch, settings.leases().targetMillis(), targets, clock, this);
-            links.put(target.id(), link);
-            linked.put(target.id(), target);
-            link.start();
+            TargetSession session =
+                    new TargetSession(target, epoch, settings.leases().targetMillis(), targets, clock, this);
+            sessions.put(target.id(), session);
+            sessionTargets.put(target.id(), target);
+            session.start();
         }
     }
 
-    private void carryOut(Command command) {
+    private void execute(Command command) {
         metrics.counter("command." + command.getClass().getSimpleName()).inc();
         switch (command) {
             case Command.Reserve reserve -> send(reserve.member(), reserve, () -> true);
@@ -218,17 +219,17 @@
                         new LogRecord.Voided(recordVoid.request(), recordVoid.attempt(), recordVoid.checkpointed()));
             case Command.Answer answer -> {
                 metrics.counter("answer." + answer.outcome().word()).inc();
-                answers.give(answer.request().id(), answer.outcome());
+                outcomes.complete(answer.request().id(), answer.outcome());
                 replica.append(new LogRecord.Finished(answer.request().id(), answer.outcome()));
             }
             case Command.HandOver handOver -> handOver(handOver.request());
         }
     }
 
-    private void send(Member member, Command command, Supplier<Boolean> wanted) {
-        TargetLink link = links.get(member.target());
-        if (link != null) {
-            link.send(wanted, command);
+    private void send(Member member, Command command, Supplier<Boolean> stillWanted) {
+        TargetSession session = sessions.get(member.target());
+        if (session != null) {
+            session.send(stillWanted, command);
         }
     }
 
@@ -251,45 +252,46 @@
                 intent.attempt().members());
         replica.append(record)
                 .whenComplete((verdict, error) ->
-                        event(new Event.IntentAnswered(request, attempt, error == null && verdict.applied())));
+                        onEvent(new Event.IntentAnswered(request, attempt, error == null && verdict.applied())));
     }
 
     private void handOver(Request request) {
-        String here = settings.vm().dataCentre();
-        String to = null;
-        long best = Long.MIN_VALUE;
+        String local = settings.vm().dataCentre();
+        String destination = null;
+        long bestScore = Long.MIN_VALUE;
         for (DataCentre candidate : state.active().configuration().dataCentres()) {
             long score = Hashing.murmur3_128()
                     .hashString(request.id() + '/' + candidate.name(), StandardCharsets.UTF_8)
                     .asLong();
-            boolean usable = state.active().inService(candidate.name()) && cells.live(candidate.name());
-            if (usable && !candidate.name().equals(here) && score > best) {
-                best = score;
-                to = candidate.name();
+            boolean eligible =
+                    state.active().inService(candidate.name()) && leaderLiveness.hasLiveLeader(candidate.name());
+            if (eligible && !candidate.name().equals(local) && score > bestScore) {
+                bestScore = score;
+                destination = candidate.name();
             }
         }
-        if (to == null) {
-            event(new Event.HandOverAnswered(request.id(), false));
+        if (destination == null) {
+            onEvent(new Event.HandOverAnswered(request.id(), false));
             return;
         }
-        replica.append(new LogRecord.HandedOver(request.id(), here, to))
+        replica.append(new LogRecord.HandedOver(request.id(), local, destination))
                 .whenComplete((verdict, error) ->
-                        event(new Event.HandOverAnswered(request.id(), error == null && verdict.applied())));
+                        onEvent(new Event.HandOverAnswered(request.id(), error == null && verdict.applied())));
     }
 
     /** Matches a task that a target reports with what this term of leadership knows of it. */
-    private void report(Target target, TargetClient.Task task) {
+    private void reconcile(Target target, TargetClient.Task task) {
         Job job = state.job(task.request()).orElse(null);
         Optional<Attempt> current = job == null ? Optional.empty() : job.phase().current();
         boolean known = current.isPresent() && current.get().number() == task.attempt();
-        if (!known && adopts(job, task)) {
+        if (!known && canAdopt(job, task)) {
             Member member = new Member(0, target.id(), task.units());
             Attempt attempt = new Attempt(task.attempt(), List.of(member), 0);
             decide(new Event.Recovered(job.request(), Optional.of(attempt), false));
             known = true;
         }
         if (known) {
-            change(job, task);
+            applyTaskState(job, task);
         } else if (task.state().equals("running") || task.state().equals("throttled")) {
             LOG.infof("orphan: stopped request=%s attempt=%d target=%s", task.request(), task.attempt(), target.id());
             Member member = new Member(task.member(), target.id(), task.units());
@@ -302,29 +304,29 @@
     }
 
     /** An earlier leader's single task is followed, unless the request has gone on without it. */
-    private boolean adopts(Job job, TargetClient.Task task) {
-        boolean useful = task.state().equals("running") || task.state().equals("ended");
+    private boolean canAdopt(Job job, TargetClient.Task task) {
+        boolean runningOrEnded = task.state().equals("running") || task.state().equals("ended");
         return job != null
-                && useful
+                && runningOrEnded
                 && CellState.epochOf(task.attempt()) < epoch
                 && job.phase() instanceof Phase.Queued
                 && job.profile().idempotent()
                 && !job.profile().gang();
     }
 
-    private void change(Job job, TargetClient.Task task) {
+    private void applyTaskState(Job job, TargetClient.Task task) {
         MemberState.Status status = statusOf(task.state());
-        boolean stale = job.phase() instanceof Phase.Running running
+        boolean unchanged = job.phase() instanceof Phase.Running running
                 && running.members().containsKey(task.member())
                 && running.members().get(task.member()).status() == status;
-        if (!stale) {
+        if (!unchanged) {
             MemberState next = new MemberState(status, task.output());
             decide(new Event.MemberChanged(task.request(), task.attempt(), task.member(), next));
         }
     }
 
-    private static MemberState.Status statusOf(String word) {
-        return switch (word) {
+    private static MemberState.Status statusOf(String state) {
+        return switch (state) {
             case "running" -> MemberState.Status.RUNNING;
             case "ended" -> MemberState.Status.ENDED;
             case "failed" -> MemberState.Status.FAILED;
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LocalKeys.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LocallyAcceptedRequests.java
@@ -9,27 +9,28 @@
  *
  * <p>Safe for use by several threads. The first use of a key stays.
  */
-final class LocalKeys {
-    private final Map<String, Use> byKey = new ConcurrentHashMap<>();
+final class LocallyAcceptedRequests {
+    private final Map<String, Submission> byKey = new ConcurrentHashMap<>();
     private final Map<String, Request> byId = new ConcurrentHashMap<>();
 
     /**
      * A use of a key.
      *
      * @param request the request
-     * @param hash hash of its profile and payload
+     * @param payloadHash hash of its profile and payload
      */
-    record Use(Request request, String hash) {}
+    record Submission(Request request, String payloadHash) {}
 
     /** Notes a use and returns the first one of its key. */
-    Use use(Request request, String hash) {
-        Use first = byKey.computeIfAbsent(request.account() + '/' + request.key(), k -> new Use(request, hash));
+    Submission putIfAbsent(Request request, String payloadHash) {
+        Submission first = byKey.computeIfAbsent(
+                request.account() + '/' + request.key(), k -> new Submission(request, payloadHash));
         byId.putIfAbsent(first.request().id(), first.request());
         return first;
     }
 
     /** Returns the request called {@code id}, or null. */
-    Request request(String id) {
+    Request findById(String id) {
         return byId.get(id);
     }
 }
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LogReplica.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LogReplica.java
@@ -29,27 +29,27 @@
  */
 final class LogReplica implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(LogReplica.class);
-    private static final int READ_MOST = 1_000;
-    private static final long READ_WAIT_MILLIS = 500;
-    private static final int BATCH_MOST = 200;
-    private static final int QUEUE_MOST = 20_000;
-    private static final long BACKOFF_MILLIS = 50;
-    private static final long BACKOFF_MOST_MILLIS = 2_000;
+    private static final int MAX_READ_ENTRIES = 1_000;
+    private static final long POLL_TIMEOUT_MILLIS = 500;
+    private static final int MAX_BATCH_RECORDS = 200;
+    private static final int MAX_QUEUED_RECORDS = 20_000;
+    private static final long INITIAL_BACKOFF_MILLIS = 50;
+    private static final long MAX_BACKOFF_MILLIS = 2_000;
 
     /** Hears of every applied entry, in order, on the reading thread. */
     interface Listener {
         /** Called after {@code entry} was applied with {@code verdict}. */
-        void applied(LogEntry entry, Verdict verdict, Directory directory);
+        void onApplied(LogEntry entry, Verdict verdict, Directory directory);
 
         /** Called when everything up to the end of the log, as of {@code sentAt}, has been applied. */
-        void caughtUp(long sentAt);
+        void onCaughtUp(long sentAt);
 
         /** Called when the log begins or ceases to answer. */
-        void available(boolean now);
+        void onAvailabilityChanged(boolean available);
     }
 
     /** A record that waits to be appended, with the future of its verdict. */
-    private record Pending(LogRecord record, CompletableFuture<Verdict> verdict) {}
+    private record PendingAppend(LogRecord record, CompletableFuture<Verdict> verdict) {}
 
     private final PlatformLog log;
     private final Clock clock;
@@ -57,7 +57,7 @@
     private final Counter appended;
     private final Counter batches;
     private final AtomicReference<Directory> directory = new AtomicReference<>(Directory.EMPTY);
-    private final BlockingQueue<Pending> queue = new LinkedBlockingQueue<>(QUEUE_MOST);
+    private final BlockingQueue<PendingAppend> queue = new LinkedBlockingQueue<>(MAX_QUEUED_RECORDS);
     private final Map<Long, CompletableFuture<Verdict>> verdicts = new ConcurrentHashMap<>();
     private volatile boolean readable;
     private volatile boolean appendable = true;
@@ -73,8 +73,8 @@
     }
 
     void start(Listener listener) {
-        Thread.ofPlatform().name("log-reader").daemon().start(() -> read(listener));
-        Thread.ofPlatform().name("log-writer").daemon().start(this::write);
+        Thread.ofPlatform().name("log-reader").daemon().start(() -> readLoop(listener));
+        Thread.ofPlatform().name("log-writer").daemon().start(this::writeLoop);
     }
 
     /** Returns the state as of the newest entry applied. */
@@ -83,14 +83,14 @@
     }
 
     /** Returns whether the log lately answered both reads and appends. */
-    boolean available() {
+    boolean isAvailable() {
         return readable && appendable;
     }
 
     /** Appends {@code record} and returns what became of it once it was replayed. */
     CompletableFuture<Verdict> append(LogRecord record) {
         CompletableFuture<Verdict> verdict = new CompletableFuture<>();
-        if (!queue.offer(new Pending(record, verdict))) {
+        if (!queue.offer(new PendingAppend(record, verdict))) {
             verdict.completeExceptionally(new PlatformException(
                     PlatformException.Kind.NOT_DONE, "too many records wait for the log; try again later", null));
         }
@@ -102,11 +102,11 @@
         open = false;
     }
 
-    private void write() {
+    private void writeLoop() {
         long sequence = 1;
         while (open) {
             try {
-                List<Pending> batch = takeBatch();
+                List<PendingAppend> batch = takeBatch();
                 if (batch.isEmpty()) {
                     continue;
                 }
@@ -114,7 +114,7 @@
                     verdicts.put(sequence + i, batch.get(i).verdict());
                 }
                 appendUntilConfirmed(
-                        sequence, batch.stream().map(Pending::record).toList());
+                        sequence, batch.stream().map(PendingAppend::record).toList());
                 sequence += batch.size();
                 appended.inc(batch.size());
                 batches.inc();
@@ -125,12 +125,12 @@
         }
     }
 
-    private List<Pending> takeBatch() throws InterruptedException {
-        List<Pending> batch = new ArrayList<>();
-        Pending first = queue.poll(READ_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+    private List<PendingAppend> takeBatch() throws InterruptedException {
+        List<PendingAppend> batch = new ArrayList<>();
+        PendingAppend first = queue.poll(POLL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         if (first != null) {
             batch.add(first);
-            queue.drainTo(batch, BATCH_MOST - 1);
+            queue.drainTo(batch, MAX_BATCH_RECORDS - 1);
         }
         return batch;
     }
@@ -146,7 +146,7 @@
                 LOG.warnf(
                         "log: append failed, sequence=%d records=%d tries=%d, %s",
                         sequence, records.size(), tries, e.getMessage());
-                pause(tries);
+                backOff(tries);
                 if (!verdicts.containsKey(sequence + records.size() - 1)) {
                     appendable = true;
                     return;
@@ -155,25 +155,25 @@
         }
     }
 
-    private void read(Listener listener) {
+    private void readLoop(Listener listener) {
         int failures = 0;
         while (open) {
             long sentAt = clock.millis();
             try {
-                PlatformLog.Page page = log.read(directory.get().next(), READ_MOST, READ_WAIT_MILLIS);
+                PlatformLog.Page page = log.read(directory.get().next(), MAX_READ_ENTRIES, POLL_TIMEOUT_MILLIS);
                 for (LogEntry entry : page.entries()) {
                     apply(entry, listener);
                 }
                 failures = 0;
                 setReadable(true, listener);
                 if (directory.get().next() >= page.end()) {
-                    listener.caughtUp(sentAt);
+                    listener.onCaughtUp(sentAt);
                 }
             } catch (PlatformException e) {
                 LOG.warnf("log: read failed, next=%d, %s", directory.get().next(), e.getMessage());
                 setReadable(false, listener);
                 failures++;
-                pauseQuietly(failures);
+                backOffOrStop(failures);
             }
         }
     }
@@ -181,7 +181,7 @@
     private void apply(LogEntry entry, Listener listener) {
         Directory.Step step = directory.get().apply(entry);
         directory.set(step.directory());
-        listener.applied(entry, step.verdict(), step.directory());
+        listener.onApplied(entry, step.verdict(), step.directory());
         if (entry.writer().equals(writer)) {
             CompletableFuture<Verdict> waiting = verdicts.remove(entry.sequence());
             if (waiting != null) {
@@ -190,25 +190,25 @@
         }
     }
 
-    private void setReadable(boolean now, Listener listener) {
-        boolean before = available();
-        readable = now;
-        if (available() != before) {
-            listener.available(available());
+    private void setReadable(boolean available, Listener listener) {
+        boolean wasAvailable = isAvailable();
+        readable = available;
+        if (isAvailable() != wasAvailable) {
+            listener.onAvailabilityChanged(isAvailable());
         }
     }
 
-    private void pauseQuietly(int tries) {
+    private void backOffOrStop(int tries) {
         try {
-            pause(tries);
+            backOff(tries);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             open = false;
         }
     }
 
-    private static void pause(int tries) throws InterruptedException {
-        long most = Math.min(BACKOFF_MOST_MILLIS, BACKOFF_MILLIS << Math.min(tries, 6));
-        Thread.sleep(most / 2 + ThreadLocalRandom.current().nextLong(most / 2 + 1));
+    private static void backOff(int tries) throws InterruptedException {
+        long limit = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(tries, 6));
+        Thread.sleep(limit / 2 + ThreadLocalRandom.current().nextLong(limit / 2 + 1));
     }
 }
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Answers.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RecentOutcomes.java
@@ -13,26 +13,26 @@
  *
  * <p>Safe for use by several threads. The first answer to a request stays.
  */
-final class Answers {
-    private static final int MOST = 50_000;
+final class RecentOutcomes {
+    private static final int MAX_OUTCOMES = 50_000;
 
     private final Cache<String, CompletableFuture<Outcome>> futures =
-            CacheBuilder.newBuilder().maximumSize(MOST).build();
+            CacheBuilder.newBuilder().maximumSize(MAX_OUTCOMES).build();
 
-    void give(String request, Outcome outcome) {
+    void complete(String request, Outcome outcome) {
         future(request).complete(outcome);
     }
 
     /** Returns the answer, or null if there is none yet. */
-    Outcome now(String request) {
+    Outcome getIfPresent(String request) {
         CompletableFuture<Outcome> future = futures.getIfPresent(request);
         return future == null ? null : future.getNow(null);
     }
 
-    /** Returns the answer as soon as there is one, or null after {@code nanos} nanoseconds without. */
-    Outcome await(String request, long nanos) {
+    /** Returns the answer as soon as there is one, or null after {@code timeoutNanos} nanoseconds without. */
+    Outcome await(String request, long timeoutNanos) {
         try {
-            return future(request).get(Math.max(0, nanos), TimeUnit.NANOSECONDS);
+            return future(request).get(Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
             return null;
         } catch (InterruptedException e) {
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestDesk.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
@@ -30,35 +30,35 @@
  *
  * <p>Safe for use by several threads; every query has a thread of its own, which may wait for the log or an answer.
  */
-final class RequestDesk implements WireServer.Handler {
-    private static final long WAIT_STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+final class RequestService implements WireServer.Handler {
+    private static final long RECHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final SchedulerSettings settings;
     private final LogReplica replica;
-    private final Leadership leadership;
+    private final LeaderElection election;
     private final AtomicReference<LeaderTerm> leaderTerm;
-    private final Answers answers;
+    private final RecentOutcomes outcomes;
     private final Explanations explanations;
     private final Clock clock;
     private final MetricRegistry metrics;
-    private final LocalKeys localKeys = new LocalKeys();
-    private final AtomicLong counter = new AtomicLong();
+    private final LocallyAcceptedRequests locallyAccepted = new LocallyAcceptedRequests();
+    private final AtomicLong requestCounter = new AtomicLong();
     private volatile boolean draining;
 
-    RequestDesk(
+    RequestService(
             SchedulerSettings settings,
             LogReplica replica,
-            Leadership leadership,
+            LeaderElection election,
             AtomicReference<LeaderTerm> leaderTerm,
-            Answers answers,
+            RecentOutcomes outcomes,
             Explanations explanations,
             Clock clock,
             MetricRegistry metrics) {
         this.settings = settings;
         this.replica = replica;
-        this.leadership = leadership;
+        this.election = election;
         this.leaderTerm = leaderTerm;
-        this.answers = answers;
+        this.outcomes = outcomes;
         this.explanations = explanations;
         this.clock = clock;
         this.metrics = metrics;
@@ -76,29 +76,29 @@
             case Message.Submit submit -> submit(submit, deadline);
             case Message.Find find -> find(find, deadline);
             case Message.Cancel cancel -> cancel(cancel);
-            case Message.Explain explain -> new Message.Explanation(explanations.of(explain.request()));
-            case Message.Look look -> look(look);
-            case Message.ListTargets list -> targets();
+            case Message.Explain explain -> new Message.Explanation(explanations.forRequest(explain.request()));
+            case Message.Look look -> view(look);
+            case Message.ListTargets list -> listTargets();
             case Message.Ping ping -> new Message.Pong();
-            case Message.Pong pong -> misdirected();
-            case Message.Status status -> misdirected();
-            case Message.Elsewhere elsewhere -> misdirected();
-            case Message.Refused refused -> misdirected();
-            case Message.Explanation explanation -> misdirected();
-            case Message.View view -> misdirected();
-            case Message.Targets targets -> misdirected();
-            case Message.LogMessage other -> misdirected();
+            case Message.Pong pong -> rejectNonQuery();
+            case Message.Status status -> rejectNonQuery();
+            case Message.Elsewhere elsewhere -> rejectNonQuery();
+            case Message.Refused refused -> rejectNonQuery();
+            case Message.Explanation explanation -> rejectNonQuery();
+            case Message.View view -> rejectNonQuery();
+            case Message.Targets targets -> rejectNonQuery();
+            case Message.LogMessage other -> rejectNonQuery();
         };
     }
 
-    private static Message misdirected() {
+    private static Message rejectNonQuery() {
         return refuse(Message.Refused.Kind.INVALID, "this message is a reply", "send a query");
     }
 
     private Message submit(Message.Submit submit, long deadline) {
         LeaderTerm current = leaderTerm.get();
-        if (current == null || draining || !leadership.leads()) {
-            return elsewhere(settings.vm().dataCentre());
+        if (current == null || draining || !election.isLeader()) {
+            return redirectTo(settings.vm().dataCentre());
         }
         ActiveConfiguration active = replica.directory().active();
         Profile profile = active.configuration().profile(submit.profile()).orElse(null);
@@ -114,33 +114,33 @@
                     "unknown account '" + submit.account() + "'",
                     "have an operator publish the account");
         }
-        String hash = hash(submit);
+        String payloadHash = payloadHash(submit);
         RequestEntry entry = replica.directory().byKey(submit.account(), submit.key());
         if (entry != null) {
-            return original(entry, hash);
+            return replyToDuplicate(entry, payloadHash);
         }
-        Request request = request(current, submit, profile);
-        if (replica.available()) {
-            return acceptOnLog(request, hash, deadline);
+        Request request = newRequest(current, submit, profile);
+        if (replica.isAvailable()) {
+            return acceptOnLog(request, payloadHash, deadline);
         }
-        return acceptLocally(current, request, hash);
+        return acceptLocally(current, request, payloadHash);
     }
 
-    private Request request(LeaderTerm current, Message.Submit submit, Profile profile) {
-        String id = settings.vm().dataCentre() + "_" + current.epoch() + "_" + counter.incrementAndGet();
+    private Request newRequest(LeaderTerm current, Message.Submit submit, Profile profile) {
+        String id = settings.vm().dataCentre() + "_" + current.epoch() + "_" + requestCounter.incrementAndGet();
         long now = clock.millis();
         return new Request(
                 id, submit.account(), submit.key(), profile, submit.payload(), now, now + profile.queueLimitMillis());
     }
 
-    private Message acceptOnLog(Request request, String hash, long deadline) {
-        LogRecord.Accepted accepted = new LogRecord.Accepted(settings.vm().dataCentre(), request, hash);
+    private Message acceptOnLog(Request request, String payloadHash, long deadline) {
+        LogRecord.Accepted accepted = new LogRecord.Accepted(settings.vm().dataCentre(), request, payloadHash);
         try {
             Verdict verdict =
                     replica.append(accepted).get(Math.max(1, deadline - System.nanoTime()), TimeUnit.NANOSECONDS);
             return switch (verdict) {
                 case Verdict.Applied applied -> status(request, "queued", null);
-                case Verdict.KeyUsed used -> original(used.original(), hash);
+                case Verdict.KeyUsed used -> replyToDuplicate(used.original(), payloadHash);
                 case Verdict.Void other -> refuse(Message.Refused.Kind.UNAVAILABLE, other.reason(), "submit it again");
             };
         } catch (TimeoutException | ExecutionException e) {
@@ -155,27 +155,27 @@
     }
 
     /** Without the log, only work that may run twice is taken in; the log hears of it later. */
-    private Message acceptLocally(LeaderTerm current, Request request, String hash) {
+    private Message acceptLocally(LeaderTerm current, Request request, String payloadHash) {
         if (!request.profile().idempotent()) {
             return refuse(
                     Message.Refused.Kind.UNAVAILABLE,
                     "not run: the platform log is unavailable and this work must not run twice",
                     "submit it again with the same key later");
         }
-        LocalKeys.Use use = localKeys.use(request, hash);
-        if (!use.request().id().equals(request.id())) {
-            return use.hash().equals(hash) ? knownStatus(use.request()) : conflict();
+        LocallyAcceptedRequests.Submission first = locallyAccepted.putIfAbsent(request, payloadHash);
+        if (!first.request().id().equals(request.id())) {
+            return first.payloadHash().equals(payloadHash) ? currentStatus(first.request()) : keyConflict();
         }
-        current.event(new Event.Submitted(request, false));
-        replica.append(new LogRecord.Accepted(settings.vm().dataCentre(), request, hash));
+        current.onEvent(new Event.Submitted(request, false));
+        replica.append(new LogRecord.Accepted(settings.vm().dataCentre(), request, payloadHash));
         return status(request, "queued", null);
     }
 
-    private Message original(RequestEntry entry, String hash) {
-        return entry.payloadHash().equals(hash) ? knownStatus(entry.request()) : conflict();
+    private Message replyToDuplicate(RequestEntry entry, String payloadHash) {
+        return entry.payloadHash().equals(payloadHash) ? currentStatus(entry.request()) : keyConflict();
     }
 
-    private static Message conflict() {
+    private static Message keyConflict() {
         return refuse(
                 Message.Refused.Kind.KEY_CONFLICT,
                 "the key was used for another profile or payload",
@@ -183,38 +183,38 @@
     }
 
     private Message find(Message.Find find, long deadline) {
-        long until = Math.min(deadline, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(find.waitMillis()));
+        long giveUpAt = Math.min(deadline, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(find.waitMillis()));
         while (true) {
-            Message known = known(find.request());
+            Message known = statusOrRedirect(find.request());
             boolean waiting = known instanceof Message.Status status && status.outcome() == null;
-            long left = until - System.nanoTime();
-            if (!waiting || draining || left <= 0) {
+            long remaining = giveUpAt - System.nanoTime();
+            if (!waiting || draining || remaining <= 0) {
                 return known;
             }
-            answers.await(find.request(), Math.min(left, WAIT_STEP_NANOS));
+            outcomes.await(find.request(), Math.min(remaining, RECHECK_INTERVAL_NANOS));
         }
     }
 
-    private Message known(String id) {
+    private Message statusOrRedirect(String id) {
         RequestEntry entry = replica.directory().request(id);
         LeaderTerm current = leaderTerm.get();
         Job job = current == null ? null : current.state().job(id).orElse(null);
         if (job != null) {
-            return knownStatus(job.request());
+            return currentStatus(job.request());
         }
         if (entry == null) {
-            Request local = localKeys.request(id);
-            return local == null ? notFound(id) : knownStatus(local);
+            Request local = locallyAccepted.findById(id);
+            return local == null ? notFound(id) : currentStatus(local);
         }
         boolean elsewhere = entry.outcome() == null
-                && answers.now(id) == null
+                && outcomes.getIfPresent(id) == null
                 && (current == null || !entry.home().equals(settings.vm().dataCentre()));
-        return elsewhere ? elsewhere(entry.home()) : knownStatus(entry.request());
+        return elsewhere ? redirectTo(entry.home()) : currentStatus(entry.request());
     }
 
-    private Message knownStatus(Request request) {
+    private Message currentStatus(Request request) {
         RequestEntry entry = replica.directory().request(request.id());
-        Outcome outcome = answers.now(request.id());
+        Outcome outcome = outcomes.getIfPresent(request.id());
         if (outcome == null && entry != null) {
             outcome = entry.outcome();
         }
@@ -226,48 +226,48 @@
                 ? "queued"
                 : current.state()
                         .job(request.id())
-                        .map(job -> word(job.phase()))
+                        .map(job -> stateName(job.phase()))
                         .orElse("queued");
         return status(request, state, null);
     }
 
     private Message cancel(Message.Cancel cancel) {
         LeaderTerm current = leaderTerm.get();
-        Message known = known(cancel.request());
+        Message known = statusOrRedirect(cancel.request());
         if (current != null && current.state().job(cancel.request()).isPresent()) {
-            current.event(new Event.CancelAsked(cancel.request()));
+            current.onEvent(new Event.CancelAsked(cancel.request()));
         }
         return known;
     }
 
-    private Message look(Message.Look look) {
+    private Message view(Message.Look look) {
         LeaderTerm current = leaderTerm.get();
         ActiveConfiguration active = replica.directory().active();
-        Leader leader = leadership.current();
+        Leader leader = election.currentLeader();
         return new Message.View(
                 settings.vm().dataCentre(),
                 current != null && !draining,
                 leader == null ? 0 : leader.epoch(),
-                replica.available(),
+                replica.isAvailable(),
                 current == null ? 0 : current.state().work().queues().size(),
                 active.revision(),
                 active.revision() > look.revision() ? active : null);
     }
 
-    private Message targets() {
+    private Message listTargets() {
         LeaderTerm current = leaderTerm.get();
         if (current == null) {
-            return elsewhere(settings.vm().dataCentre());
+            return redirectTo(settings.vm().dataCentre());
         }
         CellState state = current.state();
         List<Message.TargetLine> lines = state.fleet().targets().values().stream()
-                .map(RequestDesk::line)
+                .map(RequestService::toTargetLine)
                 .sorted((a, b) -> a.target().compareTo(b.target()))
                 .toList();
         return new Message.Targets(lines);
     }
 
-    private static Message.TargetLine line(TargetState target) {
+    private static Message.TargetLine toTargetLine(TargetState target) {
         String state = !target.reachable()
                 ? "unreachable"
                 : target.leaving() ? "leaving" : target.health().probation() ? "probation" : "live";
@@ -281,7 +281,7 @@
                 target.load().jobs().size());
     }
 
-    private Message elsewhere(String dataCentre) {
+    private Message redirectTo(String dataCentre) {
         Leader leader = replica.directory().leader(dataCentre);
         return new Message.Elsewhere(dataCentre, leader == null || leader.resigned() ? "" : leader.address());
     }
@@ -301,13 +301,13 @@
         return new Message.Refused(kind, reason, remedy);
     }
 
-    private static String hash(Message.Submit submit) {
+    private static String payloadHash(Message.Submit submit) {
         return Hashing.sha256()
                 .hashString(submit.profile() + '\n' + submit.payload(), StandardCharsets.UTF_8)
                 .toString();
     }
 
-    private static String word(Phase phase) {
+    private static String stateName(Phase phase) {
         return switch (phase) {
             case Phase.Queued queued -> "queued";
             case Phase.Claiming claiming -> "claiming";
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
@@ -41,9 +41,9 @@
 @Singleton
 public final class Scheduler implements LogReplica.Listener, ServerProgram.Running {
     private static final Logger LOG = Logger.getLogger(Scheduler.class);
-    private static final int PERMITS_PER_TERM = 6;
-    private static final long VM_LIST_MILLIS = 1_000;
-    private static final long DRAIN_MILLIS = 5_000;
+    private static final int PERMIT_RENEWALS_PER_LEASE = 6;
+    private static final long VM_LIST_REFRESH_MILLIS = 1_000;
+    private static final long DRAIN_TIMEOUT_MILLIS = 5_000;
 
     private final SchedulerSettings settings;
     private final VmList vms;
@@ -51,19 +51,19 @@
     private final Decider decider;
     private final MetricRegistry metrics;
     private final Clock clock = new Clock();
-    private final Answers answers = new Answers();
+    private final RecentOutcomes outcomes = new RecentOutcomes();
     private final Explanations explanations = new Explanations();
     private final AtomicReference<LeaderTerm> leaderTerm = new AtomicReference<>();
-    private final AtomicLong permitPostedAt = new AtomicLong(Long.MIN_VALUE / 2);
+    private final AtomicLong permitRenewedAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
     private final String holder;
-    private final LiveCells cells;
+    private final LeaderLiveness leaderLiveness;
     private final LogReplica replica;
-    private final Leadership leadership;
-    private final RequestDesk desk;
+    private final LeaderElection election;
+    private final RequestService requestService;
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(
             Thread.ofPlatform().name("vm-list").daemon().factory());
-    private volatile long vmsReadAt = Long.MIN_VALUE / 2;
-    private Set<String> leaving = Set.of();
+    private volatile long vmListReadAtMillis = Long.MIN_VALUE / 2;
+    private Set<String> leavingVms = Set.of();
     private WireServer server;
     private JsonServer operators;
 
@@ -82,10 +82,11 @@
         this.decider = decider;
         this.metrics = metrics;
         holder = settings.vm().name() + "/" + UUID.randomUUID();
-        cells = new LiveCells(clock, settings.leases().leaderMillis());
+        leaderLiveness = new LeaderLiveness(clock, settings.leases().leaderMillis());
         replica = new LogReplica(log, clock, holder, metrics);
-        leadership = new Leadership(replica, clock, settings, holder);
-        desk = new RequestDesk(settings, replica, leadership, leaderTerm, answers, explanations, clock, metrics);
+        election = new LeaderElection(replica, clock, settings, holder);
+        requestService =
+                new RequestService(settings, replica, election, leaderTerm, outcomes, explanations, clock, metrics);
     }
 
     /**
@@ -95,18 +96,18 @@
      * @throws HttpStartException if the operators' address cannot be bound
      */
     public void start() throws IOException, HttpStartException {
-        server = WireServer.start(address(settings.listen().programs()), desk);
-        operators =
-                JsonServer.start(address(settings.listen().operators()), new OperatorService(metrics, this::health));
+        server = WireServer.start(parseAddress(settings.listen().programs()), requestService);
+        operators = JsonServer.start(
+                parseAddress(settings.listen().operators()), new OperatorService(metrics, this::health));
         replica.start(this);
-        leadership.start();
-        timer.scheduleWithFixedDelay(this::readVms, 0, VM_LIST_MILLIS, TimeUnit.MILLISECONDS);
+        election.start();
+        timer.scheduleWithFixedDelay(this::refreshVmList, 0, VM_LIST_REFRESH_MILLIS, TimeUnit.MILLISECONDS);
         LOG.infof(
                 "scheduler: started vm=%s data-centre=%s",
                 settings.vm().name(), settings.vm().dataCentre());
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         return SettingsCheck.parse(text);
     }
 
@@ -116,61 +117,62 @@
     }
 
     @Override
-    public void applied(LogEntry entry, Verdict verdict, Directory directory) {
+    public void onApplied(LogEntry entry, Verdict verdict, Directory directory) {
         if (!verdict.applied()) {
             LOG.infof(
                     "replay: void offset=%d verdict=%s",
                     entry.offset(), verdict.getClass().getSimpleName());
             return;
         }
-        String here = settings.vm().dataCentre();
+        String local = settings.vm().dataCentre();
         LeaderTerm current = leaderTerm.get();
         switch (entry.record()) {
-            case LogRecord.Published published -> configured(current, directory);
-            case LogRecord.ServiceChanged change -> configured(current, directory);
+            case LogRecord.Published published -> onConfigurationChange(current, directory);
+            case LogRecord.ServiceChanged change -> onConfigurationChange(current, directory);
             case LogRecord.Led led -> {
-                cells.renewed(led.dataCentre());
-                if (led.dataCentre().equals(here)) {
-                    led(directory.leader(here), directory);
+                leaderLiveness.recordRenewal(led.dataCentre());
+                if (led.dataCentre().equals(local)) {
+                    onLeaderRecord(directory.leader(local), directory);
                 }
             }
             case LogRecord.Resigned resigned -> {
-                if (resigned.dataCentre().equals(here)) {
-                    end("resigned");
+                if (resigned.dataCentre().equals(local)) {
+                    endTerm("resigned");
                 }
             }
             case LogRecord.Accepted accepted -> {
-                if (current != null && accepted.dataCentre().equals(here)) {
-                    current.event(new Event.Submitted(accepted.request(), false));
+                if (current != null && accepted.dataCentre().equals(local)) {
+                    current.onEvent(new Event.Submitted(accepted.request(), false));
                 }
             }
             case LogRecord.HandedOver handedOver -> {
-                if (current != null && handedOver.to().equals(here)) {
+                if (current != null && handedOver.to().equals(local)) {
                     Request request = directory.request(handedOver.request()).request();
-                    current.event(new Event.Submitted(request, request.profile().idempotent()));
+                    current.onEvent(
+                            new Event.Submitted(request, request.profile().idempotent()));
                 }
             }
-            case LogRecord.Finished finished -> answers.give(finished.request(), finished.outcome());
+            case LogRecord.Finished finished -> outcomes.complete(finished.request(), finished.outcome());
             case LogRecord.Intended intended -> {}
             case LogRecord.Voided voided -> {}
         }
     }
 
-    private void configured(LeaderTerm current, Directory directory) {
+    private void onConfigurationChange(LeaderTerm current, Directory directory) {
         LOG.infof(
                 "config: in force revision=%d out=%s",
                 directory.active().revision(), directory.active().out());
         if (current != null) {
-            current.event(new Event.Configured(directory.active()));
+            current.onEvent(new Event.Configured(directory.active()));
         }
     }
 
-    private void led(Leader leader, Directory directory) {
-        leadership.seen(leader);
+    private void onLeaderRecord(Leader leader, Directory directory) {
+        election.recordRenewal(leader);
         LeaderTerm current = leaderTerm.get();
         boolean mine = leader.holder().equals(holder);
         if (current != null && (!mine || current.epoch() != leader.epoch())) {
-            end("epoch " + leader.epoch() + " has begun");
+            endTerm("epoch " + leader.epoch() + " has begun");
         }
         if (mine && leaderTerm.get() == null) {
             LeaderTerm next = new LeaderTerm(
@@ -180,17 +182,17 @@
                     replica,
                     targets,
                     clock,
-                    answers,
+                    outcomes,
                     explanations,
-                    cells,
+                    leaderLiveness,
                     metrics,
-                    () -> end("a target has seen a later epoch"));
+                    () -> endTerm("a target has seen a later epoch"));
             leaderTerm.set(next);
-            next.begin(directory);
+            next.start(directory);
         }
     }
 
-    private void end(String why) {
+    private void endTerm(String why) {
         LeaderTerm ended = leaderTerm.getAndSet(null);
         if (ended != null) {
             LOG.infof("lead: ended epoch=%d why=%s", ended.epoch(), why);
@@ -199,53 +201,55 @@
     }
 
     @Override
-    public void caughtUp(long sentAt) {
+    public void onCaughtUp(long sentAt) {
         LeaderTerm current = leaderTerm.get();
-        long term = settings.leases().permitMillis();
-        boolean listKnown = sentAt - vmsReadAt < 2 * VM_LIST_MILLIS + term;
-        if (current == null || !listKnown || sentAt - permitPostedAt.get() < term / PERMITS_PER_TERM) {
+        long permitMillis = settings.leases().permitMillis();
+        boolean vmListFresh = sentAt - vmListReadAtMillis < 2 * VM_LIST_REFRESH_MILLIS + permitMillis;
+        if (current == null
+                || !vmListFresh
+                || sentAt - permitRenewedAtMillis.get() < permitMillis / PERMIT_RENEWALS_PER_LEASE) {
             return;
         }
-        permitPostedAt.set(sentAt);
-        current.event(new Event.PermitRenewed(sentAt + term));
+        permitRenewedAtMillis.set(sentAt);
+        current.onEvent(new Event.PermitRenewed(sentAt + permitMillis));
     }
 
     @Override
-    public void available(boolean now) {
-        LOG.infof("log: available=%s", now);
+    public void onAvailabilityChanged(boolean available) {
+        LOG.infof("log: available=%s", available);
         LeaderTerm current = leaderTerm.get();
         if (current != null) {
-            current.event(new Event.LogChanged(now));
+            current.onEvent(new Event.LogChanged(available));
         }
     }
 
-    private void readVms() {
+    private void refreshVmList() {
         long sentAt = clock.millis();
         try {
-            leaving = vms.leaving();
-            vmsReadAt = sentAt;
+            leavingVms = vms.leaving();
+            vmListReadAtMillis = sentAt;
         } catch (PlatformException e) {
             LOG.debugf("vms: list not read, %s", e.getMessage());
         }
         LeaderTerm current = leaderTerm.get();
         if (current != null) {
-            current.event(new Event.LeavingListed(leaving));
+            current.onEvent(new Event.LeavingListed(leavingVms));
         }
     }
 
     @Override
     public void drain() throws InterruptedException {
         LOG.info("scheduler: stopping");
-        desk.drain();
-        leadership.resign();
-        leadership.close();
+        requestService.drain();
+        election.resign();
+        election.close();
         timer.shutdownNow();
         try {
-            server.drain(DRAIN_MILLIS);
+            server.drain(DRAIN_TIMEOUT_MILLIS);
         } catch (IOException e) {
             LOG.warnf("scheduler: connections did not close cleanly, %s", e.getMessage());
         }
-        end("the program stops");
+        endTerm("the program stops");
         operators.stop();
         replica.close();
         LOG.info("scheduler: stopped");
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/TargetLink.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/TargetSession.java
@@ -19,29 +19,29 @@
  *
  * <p>Safe for use by several threads. One thread polls and one sends commands.
  */
-final class TargetLink implements AutoCloseable {
-    private static final Logger LOG = Logger.getLogger(TargetLink.class);
-    private static final long POLL_WAIT_MILLIS = 1_000;
-    private static final long RETRY_MILLIS = 100;
-    private static final long RETRY_MOST_MILLIS = 1_000;
+final class TargetSession implements AutoCloseable {
+    private static final Logger LOG = Logger.getLogger(TargetSession.class);
+    private static final long POLL_TIMEOUT_MILLIS = 1_000;
+    private static final long INITIAL_BACKOFF_MILLIS = 100;
+    private static final long MAX_BACKOFF_MILLIS = 1_000;
 
     /** The lease counts as lapsed only this much later, in percent, so that clocks may run at different rates. */
-    private static final int PATIENCE_PERCENT = 125;
+    private static final int EXPIRY_DELAY_PERCENT = 125;
 
     /** What a term of leadership hears from its links. */
     interface Listener {
         /** Called with everything that the decisions must know. */
-        void event(Event event);
+        void onEvent(Event event);
 
         /** Called with a task that the target reports. */
-        void task(Target target, TargetClient.Task task);
+        void onTaskReport(Target target, TargetClient.Task task);
 
         /** Called when a target has seen a later epoch. */
-        void deposed();
+        void onSuperseded();
     }
 
     /** A reading of the target's clock, the local time at which it was received, and the target's incarnation. */
-    private record ClockSample(long target, long local, String incarnation) {}
+    private record ClockSample(long targetMillis, long localMillis, String incarnation) {}
 
     private final Target target;
     private final long epoch;
@@ -54,7 +54,7 @@
     private volatile ClockSample sample = new ClockSample(0, 0, "");
     private volatile boolean open = true;
 
-    TargetLink(Target target, long epoch, long leaseMillis, TargetClient client, Clock clock, Listener listener) {
+    TargetSession(Target target, long epoch, long leaseMillis, TargetClient client, Clock clock, Listener listener) {
         this.target = target;
         this.epoch = epoch;
         this.leaseMillis = leaseMillis;
@@ -64,7 +64,7 @@
     }
 
     void start() {
-        Thread.ofVirtual().name("poll-" + target.id()).start(this::poll);
+        Thread.ofVirtual().name("poll-" + target.id()).start(this::pollLoop);
     }
 
     @Override
@@ -73,69 +73,69 @@
         commands.shutdown();
     }
 
-    private void poll() {
-        long since = 0;
-        long leaseUntil = Long.MIN_VALUE;
+    private void pollLoop() {
+        long knownVersion = 0;
+        long leaseExpiresAt = Long.MIN_VALUE;
         boolean reachable = false;
         int failures = 0;
         while (open) {
             long sentAt = clock.millis();
             try {
-                TargetClient.Report report = client.poll(target, epoch, since, POLL_WAIT_MILLIS, leaseMillis);
+                TargetClient.Report report = client.poll(target, epoch, knownVersion, POLL_TIMEOUT_MILLIS, leaseMillis);
                 if (reachable && !report.incarnation().equals(sample.incarnation())) {
                     LOG.warnf("target: restarted target=%s", target.id());
-                    listener.event(new Event.TargetLost(target.id()));
+                    listener.onEvent(new Event.TargetLost(target.id()));
                     reachable = false;
                 }
                 sample = new ClockSample(report.clock(), clock.millis(), report.incarnation());
-                report.tasks().forEach(task -> listener.task(target, task));
-                since = report.version();
-                leaseUntil = sentAt + leaseMillis * PATIENCE_PERCENT / 100;
+                report.tasks().forEach(task -> listener.onTaskReport(target, task));
+                knownVersion = report.version();
+                leaseExpiresAt = sentAt + leaseMillis * EXPIRY_DELAY_PERCENT / 100;
                 failures = 0;
                 if (!reachable) {
                     reachable = true;
-                    listener.event(new Event.TargetReachable(target.id()));
+                    listener.onEvent(new Event.TargetReachable(target.id()));
                 }
             } catch (PlatformException e) {
                 if (e.kind() == PlatformException.Kind.STALE_EPOCH) {
-                    listener.deposed();
+                    listener.onSuperseded();
                     return;
                 }
                 failures++;
-                if (reachable && clock.millis() > leaseUntil) {
+                if (reachable && clock.millis() > leaseExpiresAt) {
                     reachable = false;
-                    since = 0;
+                    knownVersion = 0;
                     LOG.warnf("target: lost target=%s, %s", target.id(), e.getMessage());
-                    listener.event(new Event.TargetLost(target.id()));
+                    listener.onEvent(new Event.TargetLost(target.id()));
                 }
-                pause(failures);
+                backOff(failures);
             }
         }
     }
 
     /** Sends what the decisions want of this target. */
-    void send(Supplier<Boolean> wanted, Command command) {
+    void send(Supplier<Boolean> stillWanted, Command command) {
         if (!open) {
             return;
         }
         commands.execute(() -> {
             try {
-                run(wanted, command);
+                execute(stillWanted, command);
             } catch (RuntimeException e) {
                 LOG.errorf(e, "target: command failed, target=%s command=%s", target.id(), command);
             }
         });
     }
 
-    private void run(Supplier<Boolean> wanted, Command command) {
+    private void execute(Supplier<Boolean> stillWanted, Command command) {
         switch (command) {
             case Command.Reserve reserve -> reserve(reserve);
             case Command.Release release ->
-                attempt(() -> client.release(target, place(release.request(), release.attempt(), release.member())));
-            case Command.Start start -> start(start, wanted);
-            case Command.Treat treat -> treat(treat, wanted);
+                tryCall(() -> client.release(target, place(release.request(), release.attempt(), release.member())));
+            case Command.Start start -> start(start, stillWanted);
+            case Command.Treat treat -> treat(treat, stillWanted);
             case Command.Resume resume ->
-                attempt(() -> client.resume(target, place(resume.request(), resume.attempt(), resume.member())));
+                tryCall(() -> client.resume(target, place(resume.request(), resume.attempt(), resume.member())));
             case Command.RecordIntent recordIntent -> {}
             case Command.RecordVoid recordVoid -> {}
             case Command.Answer answer -> {}
@@ -144,11 +144,11 @@
     }
 
     private void reserve(Command.Reserve reserve) {
-        boolean granted = attempt(() -> client.reserve(
+        boolean granted = tryCall(() -> client.reserve(
                 target,
                 place(reserve.request(), reserve.attempt(), reserve.member()),
                 2 * Math.max(1, reserve.deadline() - clock.millis())));
-        listener.event(new Event.ReserveAnswered(
+        listener.onEvent(new Event.ReserveAnswered(
                 reserve.request(), reserve.attempt(), reserve.member().index(), granted));
     }
 
@@ -156,48 +156,48 @@
      * Repeats the start until the target answers: before the deadline it starts once, after it never does, so the
      * answer is certain.
      */
-    private void start(Command.Start start, Supplier<Boolean> wanted) {
+    private void start(Command.Start start, Supplier<Boolean> stillWanted) {
         TargetClient.Place place = place(start.request().id(), start.attempt().number(), start.member());
         TargetClient.Work work = new TargetClient.Work(
                 start.request().profile().name(), start.request().payload(), start.resume());
-        ClockSample now = sample;
-        long startBefore = now.target() + start.attempt().startBefore() - now.local();
-        for (int tries = 1; open && wanted.get(); tries++) {
+        ClockSample latest = sample;
+        long startBefore = latest.targetMillis() + start.attempt().startBefore() - latest.localMillis();
+        for (int tries = 1; open && stillWanted.get(); tries++) {
             try {
-                client.start(target, place, work, now.incarnation(), startBefore);
-                report(start, MemberState.Status.RUNNING);
+                client.start(target, place, work, latest.incarnation(), startBefore);
+                reportStatus(start, MemberState.Status.RUNNING);
                 return;
             } catch (PlatformException e) {
                 if (e.kind() == PlatformException.Kind.STALE_EPOCH) {
-                    listener.deposed();
+                    listener.onSuperseded();
                     return;
                 }
                 LOG.warnf(
                         "target: start not confirmed, target=%s request=%s tries=%d, %s",
                         target.id(), start.request().id(), tries, e.getMessage());
-                boolean firstRefused = e.kind() == PlatformException.Kind.NOT_DONE && tries == 1;
-                if (firstRefused || e.kind() == PlatformException.Kind.EXPIRED) {
-                    report(start, MemberState.Status.NOT_STARTED);
+                boolean certainlyNotStarted = e.kind() == PlatformException.Kind.NOT_DONE && tries == 1;
+                if (certainlyNotStarted || e.kind() == PlatformException.Kind.EXPIRED) {
+                    reportStatus(start, MemberState.Status.NOT_STARTED);
                     return;
                 }
-                pause(tries);
+                backOff(tries);
             }
         }
     }
 
-    private void treat(Command.Treat treat, Supplier<Boolean> wanted) {
+    private void treat(Command.Treat treat, Supplier<Boolean> stillWanted) {
         TargetClient.Place place = place(treat.request(), treat.attempt(), treat.member());
         String incarnation = sample.incarnation();
         for (int tries = 1; open && clock.millis() < treat.deadline(); tries++) {
-            if (attempt(() -> client.treat(target, place, treat.treatment(), incarnation)) || !wanted.get()) {
+            if (tryCall(() -> client.treat(target, place, treat.treatment(), incarnation)) || !stillWanted.get()) {
                 return;
             }
-            pause(tries);
+            backOff(tries);
         }
     }
 
-    private void report(Command.Start start, MemberState.Status status) {
-        listener.event(new Event.MemberChanged(
+    private void reportStatus(Command.Start start, MemberState.Status status) {
+        listener.onEvent(new Event.MemberChanged(
                 start.request().id(), start.attempt().number(), start.member().index(), new MemberState(status, "")));
     }
 
@@ -210,23 +210,23 @@
         void run() throws PlatformException;
     }
 
-    private boolean attempt(Call call) {
+    private boolean tryCall(Call call) {
         try {
             call.run();
             return true;
         } catch (PlatformException e) {
             if (e.kind() == PlatformException.Kind.STALE_EPOCH) {
-                listener.deposed();
+                listener.onSuperseded();
             }
             LOG.debugf("target: call failed, target=%s, %s", target.id(), e.getMessage());
             return false;
         }
     }
 
-    private static void pause(int tries) {
-        long most = Math.min(RETRY_MOST_MILLIS, RETRY_MILLIS << Math.min(tries, 4));
+    private static void backOff(int tries) {
+        long limit = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(tries, 4));
         try {
-            Thread.sleep(most / 2 + ThreadLocalRandom.current().nextLong(most / 2 + 1));
+            Thread.sleep(limit / 2 + ThreadLocalRandom.current().nextLong(limit / 2 + 1));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
