--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Clock.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Clock.java
@@ -3,10 +3,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time of this process, in milliseconds. Starts at the wall clock's reading and from then on follows the monotonic
- * clock, so it neither jumps nor stops while the process is paused.
+ * A clock of this process, in milliseconds since the Unix epoch. It is set from the wall clock once and then advances
+ * with {@link System#nanoTime}, so adjustments of the wall clock don't affect it and it keeps advancing while the
+ * process is paused.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class Clock {
     private final long startMillis = System.currentTimeMillis();
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderElection.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderElection.java
@@ -10,16 +10,22 @@
 import org.jboss.logging.Logger;
 
 /**
- * Takes part in choosing the scheduler that leads the data centre.
+ * Leader election among the schedulers of a data centre, by records on the platform's log.
  *
- * <p>The first record of the next epoch wins by log order. The holder renews it; others take over once they have not
- * seen a renewal for longer than the lease. Nothing unsafe follows from two schedulers that both believe to lead:
- * targets refuse the older epoch, and so does the replay of intents. Safe for use by several threads.
+ * <p>The first record on the log that claims the next epoch wins it. The winner renews its lease with further records;
+ * other schedulers claim the next epoch once they have seen no renewal for longer than the lease. Two schedulers may
+ * both believe that they lead for a while. This is safe because the epoch is a fencing token: targets refuse calls, and
+ * replay voids intents, that carry an older epoch.
+ *
+ * <p>Thread-safe.
  */
 final class LeaderElection implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(LeaderElection.class);
 
-    /** Others wait this much longer than the lease, in percent, so that clocks may run at different rates. */
+    /**
+     * Time without a renewal after which another scheduler takes over, as a percentage of the lease. It is longer than
+     * the lease because clocks may run at different rates.
+     */
     private static final int TAKEOVER_DELAY_PERCENT = 125;
 
     private static final int RENEWALS_PER_LEASE = 3;
@@ -43,13 +49,14 @@
         lastRenewalMillis = clock.millis();
     }
 
+    /** Starts to renew or claim the leadership periodically, with a random initial delay to spread the schedulers. */
     void start() {
         long period = settings.leases().leaderMillis() / RENEWALS_PER_LEASE;
         long first = ThreadLocalRandom.current().nextLong(period / 2 + 1);
         timer.scheduleAtFixedRate(this::renewOrCampaign, first, period, TimeUnit.MILLISECONDS);
     }
 
-    /** Notes that the log shows a renewal or a new leader. */
+    /** Records a leader record of this data centre on the log, by which {@code leader} was elected or renewed. */
     void recordRenewal(Leader leader) {
         if (leader.offset() != lastRenewalOffset) {
             lastRenewalOffset = leader.offset();
@@ -57,18 +64,18 @@
         }
     }
 
-    /** Returns whether the log says that this process leads. */
+    /** Returns whether this process leads, according to the log as far as it was replayed. */
     boolean isLeader() {
         Leader leader = currentLeader();
         return leader != null && leader.holder().equals(holder) && !leader.resigned();
     }
 
-    /** Returns the leader that the log names, or null. */
+    /** Returns the last leader on the log, which may have resigned, or null if there never was one. */
     Leader currentLeader() {
         return replica.directory().leader(settings.vm().dataCentre());
     }
 
-    /** Gives the leadership up for good, so that another scheduler can take over at once. */
+    /** Stops taking part and resigns if this process leads, so that another scheduler takes over without delay. */
     void resign() {
         resigning = true;
         if (isLeader()) {
@@ -94,7 +101,7 @@
             LOG.infof(
                     "lead: standing for epoch=%d why=%s",
                     leader == null ? 1 : leader.epoch() + 1,
-                    leader == null ? "no leader yet" : leader.resigned() ? "resigned" : "lease lapsed");
+                    leader == null ? "no leader yet" : leader.resigned() ? "resigned" : "lease expired");
             appendLeaderRecord(leader == null ? 1 : leader.epoch() + 1);
         }
     }
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderLiveness.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderLiveness.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Which data centres have a leader that renews its leadership.
+ * Tracks which data centres have a live leader, judged by the leadership renewals on the log.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class LeaderLiveness {
-    /** A leadership counts as lapsed this many terms after the last renewal that was seen. */
+    /** Lease durations without a renewal after which a leader counts as dead. */
     private static final int LEASES_UNTIL_DEAD = 2;
 
     private final Map<String, Long> deadlinesMillis = new ConcurrentHashMap<>();
@@ -21,11 +21,12 @@
         this.leaseMillis = leaseMillis;
     }
 
-    /** Notes that the log shows a new or renewed leadership of {@code dataCentre}. */
+    /** Records that the log shows a new or renewed leadership of {@code dataCentre}. */
     void recordRenewal(String dataCentre) {
         deadlinesMillis.put(dataCentre, clock.millis() + LEASES_UNTIL_DEAD * leaseMillis);
     }
 
+    /** Returns whether {@code dataCentre} has a leader that renewed its leadership recently. */
     boolean hasLiveLeader(String dataCentre) {
         return deadlinesMillis.getOrDefault(dataCentre, Long.MIN_VALUE) > clock.millis();
     }
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LogReplica.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LogReplica.java
@@ -21,11 +21,13 @@
 import org.jboss.logging.Logger;
 
 /**
- * Follows the platform's log and appends to it.
+ * A replica of the state that follows from the platform's log, which also appends to the log.
  *
- * <p>One thread reads and applies entries in order, one appends in batches. An unconfirmed append is repeated
- * under the same sequence numbers until it is; replay counts it once. Safe for use by several threads; readers of the
- * directory never wait.
+ * <p>One thread reads entries and applies them in order; another appends records in batches. An append that was not
+ * confirmed is retried with the same sequence numbers, and replay ignores duplicates, so a record takes effect at most
+ * once.
+ *
+ * <p>Thread-safe. Reading the directory never blocks.
  */
 final class LogReplica implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(LogReplica.class);
@@ -36,19 +38,22 @@
     private static final long INITIAL_BACKOFF_MILLIS = 50;
     private static final long MAX_BACKOFF_MILLIS = 2_000;
 
-    /** Hears of every applied entry, in order, on the reading thread. */
+    /** Keeps the shift from overflowing. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+
+    /** Receives the progress of the replay, on the thread that reads the log. */
     interface Listener {
-        /** Called after {@code entry} was applied with {@code verdict}. */
+        /** Called for each entry, in log order, after it was applied; {@code directory} is the state that results. */
         void onApplied(LogEntry entry, Verdict verdict, Directory directory);
 
-        /** Called when everything up to the end of the log, as of {@code sentAt}, has been applied. */
+        /** Called when all entries that were on the log at local time {@code sentAt} have been applied. */
         void onCaughtUp(long sentAt);
 
-        /** Called when the log begins or ceases to answer. */
+        /** Called when a read changes whether the log is available. */
         void onAvailabilityChanged(boolean available);
     }
 
-    /** A record that waits to be appended, with the future of its verdict. */
+    /** A queued record and the future of its verdict. */
     private record PendingAppend(LogRecord record, CompletableFuture<Verdict> verdict) {}
 
     private final PlatformLog log;
@@ -72,27 +77,33 @@
         metrics.gauge("log.queue", () -> queue::size);
     }
 
+    /** Starts the threads that read from and append to the log. */
     void start(Listener listener) {
         Thread.ofPlatform().name("log-reader").daemon().start(() -> readLoop(listener));
         Thread.ofPlatform().name("log-writer").daemon().start(this::writeLoop);
     }
 
-    /** Returns the state as of the newest entry applied. */
+    /** Returns the state after the last applied entry. */
     Directory directory() {
         return directory.get();
     }
 
-    /** Returns whether the log lately answered both reads and appends. */
+    /** Returns whether the last read and the last append both succeeded. */
     boolean isAvailable() {
         return readable && appendable;
     }
 
-    /** Appends {@code record} and returns what became of it once it was replayed. */
+    /**
+     * Queues {@code record} to be appended.
+     *
+     * @return a future that completes with the verdict when the record is replayed, or fails at once if the queue is
+     *     full
+     */
     CompletableFuture<Verdict> append(LogRecord record) {
         CompletableFuture<Verdict> verdict = new CompletableFuture<>();
         if (!queue.offer(new PendingAppend(record, verdict))) {
             verdict.completeExceptionally(new PlatformException(
-                    PlatformException.Kind.NOT_DONE, "too many records wait for the log; try again later", null));
+                    PlatformException.Kind.NOT_DONE, "the queue of records to append is full; try again later", null));
         }
         return verdict;
     }
@@ -147,6 +158,7 @@
                         "log: append failed, sequence=%d records=%d tries=%d, %s",
                         sequence, records.size(), tries, e.getMessage());
                 backOff(tries);
+                // Replay has removed the verdict of the last record, so the batch was appended without confirmation.
                 if (!verdicts.containsKey(sequence + records.size() - 1)) {
                     appendable = true;
                     return;
@@ -207,8 +219,9 @@
         }
     }
 
+    /** Sleeps for the backoff that follows {@code tries} failures, reduced by a random part of up to a half. */
     private static void backOff(int tries) throws InterruptedException {
-        long limit = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(tries, 6));
+        long limit = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(tries, MAX_BACKOFF_DOUBLINGS));
         Thread.sleep(limit / 2 + ThreadLocalRandom.current().nextLong(limit / 2 + 1));
     }
 }
