--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
@@ -37,10 +37,11 @@
 import org.jboss.logging.Logger;
 
 /**
- * One epoch in which this process leads its data centre: makes the decisions, checks them and carries them out.
+ * The term of one epoch in which this process leads its data centre. It passes events to the decider, checks each
+ * decision against the invariants and executes its commands.
  *
- * <p>One thread decides; its queue is the order of events. Other threads read the published state without waiting. The
- * state is published before the commands that follow from it are carried out.
+ * <p>Thread-safe. A single thread handles all events, in the order in which they were queued. It publishes the state
+ * before it executes the commands that follow from it; other threads read the published state without blocking.
  */
 final class LeaderTerm implements AutoCloseable, TargetSession.Listener {
     private static final Logger LOG = Logger.getLogger(LeaderTerm.class);
@@ -61,8 +62,11 @@
     private final Timer decisionTimer;
     private final Runnable supersededCallback;
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+
+    // Accessed only by the deciding thread, by identifier of the target.
     private final Map<String, TargetSession> sessions = new HashMap<>();
     private final Map<String, Target> sessionTargets = new HashMap<>();
+
     private volatile CellState state;
     private volatile boolean open = true;
 
@@ -94,7 +98,7 @@
         state = CellState.initial(settings.vm().dataCentre(), epoch);
     }
 
-    /** Takes up what the log says and begins to decide. */
+    /** Queues the configuration and the unfinished requests of {@code directory} and starts the deciding thread. */
     void start(Directory directory) {
         onEvent(new Event.Configured(directory.active()));
         for (RequestEntry entry : directory.requests()) {
@@ -107,14 +111,14 @@
     }
 
     private static Optional<Attempt> recoveredAttempt(RequestEntry entry) {
-        return Optional.ofNullable(entry.intent()).map(i -> new Attempt(i.attempt(), i.members(), 0));
+        return Optional.ofNullable(entry.intent()).map(intent -> new Attempt(intent.attempt(), intent.members(), 0));
     }
 
     long epoch() {
         return epoch;
     }
 
-    /** Returns the state after the latest decision. */
+    /** Returns the state after the last decision. */
     CellState state() {
         return state;
     }
@@ -143,19 +147,19 @@
     private void processEvents() {
         while (open || !queue.isEmpty()) {
             try {
-                long next = state.nextTimer().orElse(Long.MAX_VALUE);
-                long wait = Math.max(0, Math.min(MAX_IDLE_MILLIS, next - clock.millis()));
-                Runnable step = queue.poll(wait, TimeUnit.MILLISECONDS);
-                if (step != null) {
-                    step.run();
-                } else if (next <= clock.millis()) {
+                long timerMillis = state.nextTimer().orElse(Long.MAX_VALUE);
+                long waitMillis = Math.max(0, Math.min(MAX_IDLE_MILLIS, timerMillis - clock.millis()));
+                Runnable action = queue.poll(waitMillis, TimeUnit.MILLISECONDS);
+                if (action != null) {
+                    action.run();
+                } else if (timerMillis <= clock.millis()) {
                     decide(new Event.Tick());
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             } catch (RuntimeException e) {
-                LOG.errorf(e, "decide: an event failed and was passed over");
+                LOG.errorf(e, "decide: event failed and was skipped");
                 metrics.counter("decide.failed").inc();
             }
         }
@@ -183,6 +187,7 @@
         decision.commands().forEach(this::execute);
     }
 
+    /** Opens a session for each target that is new or changed in {@code active}; changed targets get a new session. */
     private void openSessions(ActiveConfiguration active) {
         for (Target target : active.configuration().targetsOf(settings.vm().dataCentre())) {
             if (target.equals(sessionTargets.get(target.id()))) {
@@ -233,6 +238,7 @@
         }
     }
 
+    /** Returns whether {@code member} still occupies its place in the request's current, running attempt. */
     private boolean occupies(String request, long attempt, Member member) {
         return state.job(request)
                 .filter(job -> job.phase() instanceof Phase.Running running
@@ -255,8 +261,12 @@
                         onEvent(new Event.IntentAnswered(request, attempt, error == null && verdict.applied())));
     }
 
+    /**
+     * Hands the request over to another data centre that is in service and has a live leader, chosen by rendezvous
+     * hashing.
+     */
     private void handOver(Request request) {
-        String local = settings.vm().dataCentre();
+        String localDataCentre = settings.vm().dataCentre();
         String destination = null;
         long bestScore = Long.MIN_VALUE;
         for (DataCentre candidate : state.active().configuration().dataCentres()) {
@@ -265,7 +275,7 @@
                     .asLong();
             boolean eligible =
                     state.active().inService(candidate.name()) && leaderLiveness.hasLiveLeader(candidate.name());
-            if (eligible && !candidate.name().equals(local) && score > bestScore) {
+            if (eligible && !candidate.name().equals(localDataCentre) && score > bestScore) {
                 bestScore = score;
                 destination = candidate.name();
             }
@@ -274,12 +284,15 @@
             onEvent(new Event.HandOverAnswered(request.id(), false));
             return;
         }
-        replica.append(new LogRecord.HandedOver(request.id(), local, destination))
+        replica.append(new LogRecord.HandedOver(request.id(), localDataCentre, destination))
                 .whenComplete((verdict, error) ->
                         onEvent(new Event.HandOverAnswered(request.id(), error == null && verdict.applied())));
     }
 
-    /** Matches a task that a target reports with what this term of leadership knows of it. */
+    /**
+     * Reconciles a reported task with the state. Applies the task's state to its request if the attempt is current,
+     * adopts a suitable task of an earlier leader, and stops any other active task as an orphan.
+     */
     private void reconcile(Target target, TargetClient.Task task) {
         Job job = state.job(task.request()).orElse(null);
         Optional<Attempt> current = job == null ? Optional.empty() : job.phase().current();
@@ -293,7 +306,7 @@
         if (known) {
             applyTaskState(job, task);
         } else if (task.state().equals("running") || task.state().equals("throttled")) {
-            LOG.infof("orphan: stopped request=%s attempt=%d target=%s", task.request(), task.attempt(), target.id());
+            LOG.infof("orphan: stopping request=%s attempt=%d target=%s", task.request(), task.attempt(), target.id());
             Member member = new Member(task.member(), target.id(), task.units());
             long deadline = clock.millis() + decider.policy().stopMillis();
             send(
@@ -303,7 +316,10 @@
         }
     }
 
-    /** An earlier leader's single task is followed, unless the request has gone on without it. */
+    /**
+     * Returns whether to adopt a task that an earlier leader started. The task must be running or ended. Its request
+     * must be idempotent, run as a single task and still be queued, that is, not have been placed again.
+     */
     private boolean canAdopt(Job job, TargetClient.Task task) {
         boolean runningOrEnded = task.state().equals("running") || task.state().equals("ended");
         return job != null
@@ -314,6 +330,7 @@
                 && !job.profile().gang();
     }
 
+    /** Passes the task's state to the decider unless it is that state already. */
     private void applyTaskState(Job job, TargetClient.Task task) {
         MemberState.Status status = statusOf(task.state());
         boolean unchanged = job.phase() instanceof Phase.Running running
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/TargetSession.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/TargetSession.java
@@ -14,10 +14,11 @@
 import org.jboss.logging.Logger;
 
 /**
- * Keeps the lease at one target during one term of leadership, reports what changes there and passes commands on, in
- * order.
+ * The connection of one leader term to one target. It keeps the lease at the target by polling, reports changes at the
+ * target to a listener and sends commands to the target in order.
  *
- * <p>Safe for use by several threads. One thread polls and one sends commands.
+ * <p>Thread-safe. One thread polls and another sends commands, so a command that is retried delays those behind it but
+ * not the polls.
  */
 final class TargetSession implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(TargetSession.class);
@@ -25,22 +26,34 @@
     private static final long INITIAL_BACKOFF_MILLIS = 100;
     private static final long MAX_BACKOFF_MILLIS = 1_000;
 
-    /** The lease counts as lapsed only this much later, in percent, so that clocks may run at different rates. */
-    private static final int EXPIRY_DELAY_PERCENT = 125;
+    /** Keeps the shift from overflowing. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-    /** What a term of leadership hears from its links. */
+    /**
+     * Time since the last successful poll was sent after which the target counts as lost, as a percentage of the lease.
+     * It is longer than the lease because clocks may run at different rates.
+     */
+    private static final int LOSS_DELAY_PERCENT = 125;
+
+    /** Receives what a session learns about its target, on the session's threads. */
     interface Listener {
-        /** Called with everything that the decisions must know. */
+        /** Called with each event for the decider. */
         void onEvent(Event event);
 
-        /** Called with a task that the target reports. */
+        /** Called with each task whose state changed at the target. */
         void onTaskReport(Target target, TargetClient.Task task);
 
-        /** Called when a target has seen a later epoch. */
+        /** Called when the target refuses a call because it has seen a later epoch. */
         void onSuperseded();
     }
 
-    /** A reading of the target's clock, the local time at which it was received, and the target's incarnation. */
+    /**
+     * A reading of the target's clock, to convert local times to the target's clock.
+     *
+     * @param targetMillis the reading
+     * @param localMillis local time at which the reading was received
+     * @param incarnation incarnation of the target that reported it
+     */
     private record ClockSample(long targetMillis, long localMillis, String incarnation) {}
 
     private final Target target;
@@ -63,6 +76,7 @@
         this.listener = listener;
     }
 
+    /** Starts to poll the target. */
     void start() {
         Thread.ofVirtual().name("poll-" + target.id()).start(this::pollLoop);
     }
@@ -90,7 +104,7 @@
                 sample = new ClockSample(report.clock(), clock.millis(), report.incarnation());
                 report.tasks().forEach(task -> listener.onTaskReport(target, task));
                 knownVersion = report.version();
-                leaseExpiresAt = sentAt + leaseMillis * EXPIRY_DELAY_PERCENT / 100;
+                leaseExpiresAt = sentAt + leaseMillis * LOSS_DELAY_PERCENT / 100;
                 failures = 0;
                 if (!reachable) {
                     reachable = true;
@@ -113,7 +127,11 @@
         }
     }
 
-    /** Sends what the decisions want of this target. */
+    /**
+     * Queues {@code command} to be sent to the target. Does nothing if the session is closed.
+     *
+     * @param stillWanted whether to go on retrying the command; queried on the sending thread
+     */
     void send(Supplier<Boolean> stillWanted, Command command) {
         if (!open) {
             return;
@@ -143,6 +161,7 @@
         }
     }
 
+    /** Asks the target once to hold the place, beyond the reservation's deadline, and reports whether it does. */
     private void reserve(Command.Reserve reserve) {
         boolean granted = tryCall(() -> client.reserve(
                 target,
@@ -153,14 +172,15 @@
     }
 
     /**
-     * Repeats the start until the target answers: before the deadline it starts once, after it never does, so the
-     * answer is certain.
+     * Retries the start until its effect is certain. The call is idempotent, and after the deadline the target refuses
+     * it for good, so an answer settles whether the task was started.
      */
     private void start(Command.Start start, Supplier<Boolean> stillWanted) {
         TargetClient.Place place = place(start.request().id(), start.attempt().number(), start.member());
         TargetClient.Work work = new TargetClient.Work(
                 start.request().profile().name(), start.request().payload(), start.resume());
         ClockSample latest = sample;
+        // The target read its clock before localMillis, so the converted deadline is never too late.
         long startBefore = latest.targetMillis() + start.attempt().startBefore() - latest.localMillis();
         for (int tries = 1; open && stillWanted.get(); tries++) {
             try {
@@ -175,6 +195,7 @@
                 LOG.warnf(
                         "target: start not confirmed, target=%s request=%s tries=%d, %s",
                         target.id(), start.request().id(), tries, e.getMessage());
+                // On a later try, NOT_DONE says nothing about the earlier calls, which may have started the task.
                 boolean certainlyNotStarted = e.kind() == PlatformException.Kind.NOT_DONE && tries == 1;
                 if (certainlyNotStarted || e.kind() == PlatformException.Kind.EXPIRED) {
                     reportStatus(start, MemberState.Status.NOT_STARTED);
@@ -185,6 +206,7 @@
         }
     }
 
+    /** Retries the treatment until the target accepts it, it is no longer wanted or its deadline has passed. */
     private void treat(Command.Treat treat, Supplier<Boolean> stillWanted) {
         TargetClient.Place place = place(treat.request(), treat.attempt(), treat.member());
         String incarnation = sample.incarnation();
@@ -205,11 +227,12 @@
         return new TargetClient.Place(epoch, request, attempt, member.index(), member.units());
     }
 
-    /** A call to the target. */
+    /** A call to the target that may fail. */
     private interface Call {
         void run() throws PlatformException;
     }
 
+    /** Makes {@code call} once and returns whether it succeeded. */
     private boolean tryCall(Call call) {
         try {
             call.run();
@@ -223,8 +246,9 @@
         }
     }
 
+    /** Sleeps for the backoff that follows {@code tries} failures, reduced by a random part of up to a half. */
     private static void backOff(int tries) {
-        long limit = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(tries, 4));
+        long limit = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(tries, MAX_BACKOFF_DOUBLINGS));
         try {
             Thread.sleep(limit / 2 + ThreadLocalRandom.current().nextLong(limit / 2 + 1));
         } catch (InterruptedException e) {
