--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Explanations.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Explanations.java
@@ -8,10 +8,10 @@
 import org.acaciaport.decision.Note;
 
 /**
- * The decisions made lately about each request, in words.
+ * Recent decisions about each request as lines of text, for the {@code explain} query. Keeps the newest
+ * {@value #MAX_LINES_PER_REQUEST} lines of each request, for up to {@value #MAX_REQUESTS} requests.
  *
- * <p>Safe for use by several threads. Keeps at most {@value #MAX_LINES_PER_REQUEST} lines of {@value #MAX_REQUESTS}
- * requests.
+ * <p>Thread-safe.
  */
 final class Explanations {
     private static final int MAX_REQUESTS = 5_000;
@@ -20,6 +20,7 @@
     private final Cache<String, Queue<String>> linesByRequest =
             CacheBuilder.newBuilder().maximumSize(MAX_REQUESTS).build();
 
+    /** Adds the line for {@code note}, unless the note concerns no request. */
     void add(Note note) {
         if (note.request().isEmpty()) {
             return;
@@ -32,6 +33,7 @@
         }
     }
 
+    /** Returns the lines of {@code request}, oldest first; empty if there are none. */
     List<String> forRequest(String request) {
         Queue<String> queue = linesByRequest.getIfPresent(request);
         return queue == null ? List.of() : List.copyOf(queue);
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RecentOutcomes.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RecentOutcomes.java
@@ -9,9 +9,10 @@
 import org.acaciaport.request.Outcome;
 
 /**
- * Final answers given lately, and callers that wait for one.
+ * Outcomes of recently finished requests, and a way to wait for one. The first outcome of a request is kept; later ones
+ * are ignored.
  *
- * <p>Safe for use by several threads. The first answer to a request stays.
+ * <p>Thread-safe.
  */
 final class RecentOutcomes {
     private static final int MAX_OUTCOMES = 50_000;
@@ -19,17 +20,23 @@
     private final Cache<String, CompletableFuture<Outcome>> futures =
             CacheBuilder.newBuilder().maximumSize(MAX_OUTCOMES).build();
 
+    /** Sets the outcome of {@code request}, unless it has one, and wakes up the threads that wait for it. */
     void complete(String request, Outcome outcome) {
         future(request).complete(outcome);
     }
 
-    /** Returns the answer, or null if there is none yet. */
+    /** Returns the outcome of {@code request}, or null if it is not known. */
     Outcome getIfPresent(String request) {
         CompletableFuture<Outcome> future = futures.getIfPresent(request);
         return future == null ? null : future.getNow(null);
     }
 
-    /** Returns the answer as soon as there is one, or null after {@code timeoutNanos} nanoseconds without. */
+    /**
+     * Waits for the outcome of {@code request}.
+     *
+     * @return the outcome, or null if the timeout elapsed or the thread was interrupted, in which case its interrupt
+     *     status is set
+     */
     Outcome await(String request, long timeoutNanos) {
         try {
             return future(request).get(Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
@@ -39,7 +46,7 @@
             Thread.currentThread().interrupt();
             return null;
         } catch (ExecutionException e) {
-            throw new IllegalStateException("answers are never completed with an error", e);
+            throw new IllegalStateException("an outcome future was completed exceptionally", e);
         }
     }
 
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
@@ -26,11 +26,13 @@
 import org.acaciaport.wire.WireServer;
 
 /**
- * Answers gateways.
+ * Answers queries from gateways and other programs.
  *
- * <p>Safe for use by several threads; every query has a thread of its own, which may wait for the log or an answer.
+ * <p>Thread-safe. Each query runs on a thread of its own, which may block until the log confirms a record or a request
+ * has an outcome.
  */
 final class RequestService implements WireServer.Handler {
+    /** How often a waiting query checks whether it must return early. */
     private static final long RECHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final SchedulerSettings settings;
@@ -64,7 +66,7 @@
         this.metrics = metrics;
     }
 
-    /** Makes waiting queries return early and sends new requests elsewhere. */
+    /** Makes waiting queries return early and redirects new requests to the leader that the log names. */
     void drain() {
         draining = true;
     }
@@ -154,7 +156,10 @@
         }
     }
 
-    /** Without the log, only work that may run twice is taken in; the log hears of it later. */
+    /**
+     * Accepts a request while the log is unavailable. Only idempotent work is accepted, because it may run twice. Its
+     * record is queued and appended when the log is available again.
+     */
     private Message acceptLocally(LeaderTerm current, Request request, String payloadHash) {
         if (!request.profile().idempotent()) {
             return refuse(
@@ -171,6 +176,7 @@
         return status(request, "queued", null);
     }
 
+    /** Returns the status of the request that the key was first used for, or a conflict if the content differs. */
     private Message replyToDuplicate(RequestEntry entry, String payloadHash) {
         return entry.payloadHash().equals(payloadHash) ? currentStatus(entry.request()) : keyConflict();
     }
@@ -195,6 +201,7 @@
         }
     }
 
+    /** Returns the status of the request if this scheduler knows it, or else where to ask for it. */
     private Message statusOrRedirect(String id) {
         RequestEntry entry = replica.directory().request(id);
         LeaderTerm current = leaderTerm.get();
@@ -203,8 +210,8 @@
             return currentStatus(job.request());
         }
         if (entry == null) {
-            Request local = locallyAccepted.findById(id);
-            return local == null ? notFound(id) : currentStatus(local);
+            Request accepted = locallyAccepted.findById(id);
+            return accepted == null ? notFound(id) : currentStatus(accepted);
         }
         boolean elsewhere = entry.outcome() == null
                 && outcomes.getIfPresent(id) == null
@@ -212,6 +219,7 @@
         return elsewhere ? redirectTo(entry.home()) : currentStatus(entry.request());
     }
 
+    /** Returns the status of a known request. Without an outcome and a current job it is reported as queued. */
     private Message currentStatus(Request request) {
         RequestEntry entry = replica.directory().request(request.id());
         Outcome outcome = outcomes.getIfPresent(request.id());
