--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
@@ -33,15 +33,18 @@
 import org.jboss.logging.Logger;
 
 /**
- * The scheduler of one VM: follows the log, stands for leadership and serves the other programs.
+ * The scheduler of one VM. It replays the log, takes part in the leader election of its data centre and answers queries
+ * from other programs.
  *
- * <p>Safe for use by several threads. A term of leadership begins and ends on the thread that reads the log, so its
- * first state and the entries that follow fit together.
+ * <p>Thread-safe. A leader term starts on the thread that replays the log, so it starts from the state after one entry
+ * and receives every entry that follows.
  */
 @Singleton
 public final class Scheduler implements LogReplica.Listener, ServerProgram.Running {
     private static final Logger LOG = Logger.getLogger(Scheduler.class);
+    /** Renewals of the permit to start work within its duration. */
     private static final int PERMIT_RENEWALS_PER_LEASE = 6;
+
     private static final long VM_LIST_REFRESH_MILLIS = 1_000;
     private static final long DRAIN_TIMEOUT_MILLIS = 5_000;
 
@@ -54,8 +57,13 @@
     private final RecentOutcomes outcomes = new RecentOutcomes();
     private final Explanations explanations = new Explanations();
     private final AtomicReference<LeaderTerm> leaderTerm = new AtomicReference<>();
+
+    // Half of the least value, so that the time since then doesn't overflow.
     private final AtomicLong permitRenewedAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
+
+    // Unique name of this process, as holder of the leadership and as writer on the log.
     private final String holder;
+
     private final LeaderLiveness leaderLiveness;
     private final LogReplica replica;
     private final LeaderElection election;
@@ -67,7 +75,7 @@
     private WireServer server;
     private JsonServer operators;
 
-    /** Creates a scheduler that does nothing until started. */
+    /** Creates a scheduler that is not started yet. */
     @Inject
     public Scheduler(
             SchedulerSettings settings,
@@ -90,7 +98,7 @@
     }
 
     /**
-     * Begins to listen and to follow the log.
+     * Starts to answer queries and to replay the log.
      *
      * @throws IOException if the programs' address cannot be bound
      * @throws HttpStartException if the operators' address cannot be bound
@@ -120,33 +128,33 @@
     public void onApplied(LogEntry entry, Verdict verdict, Directory directory) {
         if (!verdict.applied()) {
             LOG.infof(
-                    "replay: void offset=%d verdict=%s",
+                    "replay: entry had no effect, offset=%d verdict=%s",
                     entry.offset(), verdict.getClass().getSimpleName());
             return;
         }
-        String local = settings.vm().dataCentre();
+        String localDataCentre = settings.vm().dataCentre();
         LeaderTerm current = leaderTerm.get();
         switch (entry.record()) {
             case LogRecord.Published published -> onConfigurationChange(current, directory);
             case LogRecord.ServiceChanged change -> onConfigurationChange(current, directory);
             case LogRecord.Led led -> {
                 leaderLiveness.recordRenewal(led.dataCentre());
-                if (led.dataCentre().equals(local)) {
-                    onLeaderRecord(directory.leader(local), directory);
+                if (led.dataCentre().equals(localDataCentre)) {
+                    onLeaderRecord(directory.leader(localDataCentre), directory);
                 }
             }
             case LogRecord.Resigned resigned -> {
-                if (resigned.dataCentre().equals(local)) {
+                if (resigned.dataCentre().equals(localDataCentre)) {
                     endTerm("resigned");
                 }
             }
             case LogRecord.Accepted accepted -> {
-                if (current != null && accepted.dataCentre().equals(local)) {
+                if (current != null && accepted.dataCentre().equals(localDataCentre)) {
                     current.onEvent(new Event.Submitted(accepted.request(), false));
                 }
             }
             case LogRecord.HandedOver handedOver -> {
-                if (current != null && handedOver.to().equals(local)) {
+                if (current != null && handedOver.to().equals(localDataCentre)) {
                     Request request = directory.request(handedOver.request()).request();
                     current.onEvent(
                             new Event.Submitted(request, request.profile().idempotent()));
@@ -160,13 +168,14 @@
 
     private void onConfigurationChange(LeaderTerm current, Directory directory) {
         LOG.infof(
-                "config: in force revision=%d out=%s",
+                "config: active revision=%d out=%s",
                 directory.active().revision(), directory.active().out());
         if (current != null) {
             current.onEvent(new Event.Configured(directory.active()));
         }
     }
 
+    /** Starts or ends the leader term if {@code leader} has changed. */
     private void onLeaderRecord(Leader leader, Directory directory) {
         election.recordRenewal(leader);
         LeaderTerm current = leaderTerm.get();
@@ -204,6 +213,7 @@
     public void onCaughtUp(long sentAt) {
         LeaderTerm current = leaderTerm.get();
         long permitMillis = settings.leases().permitMillis();
+        // Without a recent list it is unknown which VMs are leaving, so the permit is left to expire.
         boolean vmListFresh = sentAt - vmListReadAtMillis < 2 * VM_LIST_REFRESH_MILLIS + permitMillis;
         if (current == null
                 || !vmListFresh
@@ -229,7 +239,7 @@
             leavingVms = vms.leaving();
             vmListReadAtMillis = sentAt;
         } catch (PlatformException e) {
-            LOG.debugf("vms: list not read, %s", e.getMessage());
+            LOG.debugf("vms: cannot read the list of VMs, %s", e.getMessage());
         }
         LeaderTerm current = leaderTerm.get();
         if (current != null) {
@@ -249,7 +259,7 @@
         } catch (IOException e) {
             LOG.warnf("scheduler: connections did not close cleanly, %s", e.getMessage());
         }
-        endTerm("the program stops");
+        endTerm("the program is stopping");
         operators.stop();
         replica.close();
         LOG.info("scheduler: stopped");
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerComponent.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerComponent.java
@@ -3,10 +3,9 @@
 import dagger.Component;
 import jakarta.inject.Singleton;
 
-/** Builds a {@link Scheduler}. */
+/** Dagger component that builds a {@link Scheduler} with its dependencies. */
 @Singleton
 @Component(modules = SchedulerModule.class)
 interface SchedulerComponent {
-    /** Returns the scheduler. */
     Scheduler scheduler();
 }
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerMain.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerMain.java
@@ -4,11 +4,11 @@
 import org.acaciaport.program.Logs;
 import org.acaciaport.program.ServerProgram;
 
-/** The {@code acacia-scheduler} program. */
+/** Main class of the {@code acacia-scheduler} program. */
 public final class SchedulerMain {
     private SchedulerMain() {}
 
-    /** Runs the program. */
+    /** Runs the program until it is stopped and exits with its exit code. */
     public static void main(String[] arguments) {
         ServerProgram<SchedulerSettings> program = new ServerProgram<>(
                 "acacia-scheduler",
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerModule.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerModule.java
@@ -13,7 +13,7 @@
 import org.acaciaport.platform.TargetClient;
 import org.acaciaport.platform.VmList;
 
-/** Binds the scheduler's parts to the platform over HTTP. */
+/** Provides the dependencies of {@link Scheduler}; the platform and the targets are reached over HTTP. */
 @Module
 final class SchedulerModule {
     private final SchedulerSettings settings;
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerSettings.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerSettings.java
@@ -9,43 +9,43 @@
  *
  * <p>Immutable.
  *
- * @param vm who and where this process is
- * @param listen addresses it listens on
- * @param platform where the platform is
- * @param leases how long its claims last
- * @param log how it writes its log
+ * @param vm identity and location of this process
+ * @param listen addresses to listen on
+ * @param platform how to reach the platform
+ * @param leases lease durations
+ * @param log format and level of the program's own log output
  */
 public record SchedulerSettings(Vm vm, Listen listen, Platform platform, Leases leases, LogSettings log)
         implements Settings.Checked {
     /**
-     * Who and where this process is.
+     * Identity and location of this process.
      *
      * @param name unique name of the VM
-     * @param dataCentre name of its data centre
+     * @param dataCentre name of the data centre that the VM is in
      */
     public record Vm(String name, String dataCentre) {}
 
     /**
-     * Addresses, as IP:PORT.
+     * Addresses to listen on, as IP:PORT.
      *
-     * @param programs for gateways and other schedulers
-     * @param operators for health and metrics
+     * @param programs address for gateways and other schedulers
+     * @param operators address for health checks and metrics
      */
     public record Listen(String programs, String operators) {}
 
     /**
-     * Where the platform is.
+     * How to reach the platform.
      *
      * @param address base URI of the log and the VM list
      */
     public record Platform(String address) {}
 
     /**
-     * How long claims last, in milliseconds.
+     * Lease durations, in milliseconds.
      *
-     * @param leaderMillis a leadership without renewal
-     * @param permitMillis a start after the log was last read to its end
-     * @param targetMillis work on a target without a poll
+     * @param leaderMillis how long a leadership lasts without a renewal
+     * @param permitMillis how long targets may start work after the log was last read to its end
+     * @param targetMillis how long a target keeps running work without being polled
      */
     public record Leases(long leaderMillis, long permitMillis, long targetMillis) {}
 
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/package-info.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/package-info.java
@@ -1,9 +1,14 @@
 /**
- * The scheduler program: one on every entry VM, of which one leads each data centre.
+ * The scheduler program. A scheduler runs on every entry VM, and one of the schedulers in each data centre leads it.
  *
- * <p>{@link org.acaciaport.scheduler.Scheduler} ties the parts together. {@link org.acaciaport.scheduler.LogReplica}
- * follows the log, {@link org.acaciaport.scheduler.LeaderElection} decides who leads,
- * {@link org.acaciaport.scheduler.LeaderTerm} makes and carries out the decisions while this process leads, and
- * {@link org.acaciaport.scheduler.RequestService} answers the other programs.
+ * <p>{@link org.acaciaport.scheduler.Scheduler} connects the parts and starts and stops them:
+ *
+ * <ul>
+ *   <li>{@link org.acaciaport.scheduler.LogReplica} replays the platform's log and appends to it.
+ *   <li>{@link org.acaciaport.scheduler.LeaderElection} acquires, renews and resigns the leadership of the data centre.
+ *   <li>{@link org.acaciaport.scheduler.LeaderTerm} makes and executes decisions while this process leads, with one
+ *       {@link org.acaciaport.scheduler.TargetSession} for each target.
+ *   <li>{@link org.acaciaport.scheduler.RequestService} answers queries from other programs.
+ * </ul>
  */
 package org.acaciaport.scheduler;
