--- a/acacia-pool/src/main/java/org/acaciaport/pool/Objective.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Objective.java
@@ -9,14 +9,14 @@
  * <p>Immutable.
  *
  * @param job the job
- * @param chainMillis estimated longest chain of its steps, in milliseconds
+ * @param criticalPathMillis estimated longest chain of its steps, in milliseconds
  */
-record Objective(Job job, long chainMillis) {
+record Objective(Job job, long criticalPathMillis) {
     /** How many times its objective a late job may take and still be of use. */
-    private static final int LATE_FACTOR = 3;
+    private static final int LATE_LIMIT_FACTOR = 3;
 
     /** What an end of an occurrence is still worth, if it began now. The order is that in which work is taken up. */
-    enum Outlook {
+    enum DeadlineStatus {
         /** It can still be done within its objective. */
         IN_TIME,
         /** It can still be of use. */
@@ -41,21 +41,21 @@
     }
 
     /** Returns how long an occurrence should take, in milliseconds. */
-    private long millis() {
-        return (long) (job.terms().stretch() * chainMillis) + job.terms().objectiveMillis();
+    private long durationMillis() {
+        return (long) (job.terms().stretch() * criticalPathMillis) + job.terms().objectiveMillis();
     }
 
     /** Returns the outlook of an occurrence that would begin at {@code nowMillis}. */
-    Outlook outlook(int occurrence, long nowMillis) {
+    DeadlineStatus deadlineStatus(int occurrence, long nowMillis) {
         if (slackMillis(occurrence, nowMillis) >= 0) {
-            return Outlook.IN_TIME;
+            return DeadlineStatus.IN_TIME;
         }
-        boolean late = nowMillis <= job.dueMillis(occurrence) + LATE_FACTOR * millis();
-        return late ? Outlook.LATE : Outlook.MISSED;
+        boolean stillUseful = nowMillis <= job.dueMillis(occurrence) + LATE_LIMIT_FACTOR * durationMillis();
+        return stillUseful ? DeadlineStatus.LATE : DeadlineStatus.MISSED;
     }
 
     /** Returns how long an occurrence can wait and still be done within its objective, in milliseconds. */
     long slackMillis(int occurrence, long nowMillis) {
-        return job.dueMillis(occurrence) + millis() - chainMillis - nowMillis;
+        return job.dueMillis(occurrence) + durationMillis() - criticalPathMillis - nowMillis;
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Outbox.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Outbox.java
@@ -14,41 +14,41 @@
  * them; stops need no record.
  */
 final class Outbox {
-    private final Set<JobRun> changed = new LinkedHashSet<>();
+    private final Set<JobExecution> changedJobs = new LinkedHashSet<>();
     private final List<TargetCommand.Start> starts = new ArrayList<>();
     private final Map<String, Batch.Acknowledgement> acknowledgements = new HashMap<>();
     private final List<TargetCommand.Stop> stops = new ArrayList<>();
 
-    void changed(JobRun job) {
-        changed.add(job);
+    void markChanged(JobExecution job) {
+        changedJobs.add(job);
     }
 
-    void start(TaskRun task) {
-        changed(task.step.job);
+    void addStart(TaskExecution task) {
+        markChanged(task.step.job);
         starts.add(new TargetCommand.Start(
                 task.target.id,
                 task.incarnation,
                 task.id,
                 task.lastRun,
                 task.job().payload(),
-                task.saved));
+                task.checkpoint));
     }
 
-    void stop(String target, long incarnation, TaskId task, int run) {
+    void addStop(String target, long incarnation, TaskId task, int run) {
         stops.add(new TargetCommand.Stop(target, incarnation, task, run));
     }
 
-    void acknowledge(String target, long incarnation, long upTo) {
+    void addAcknowledgement(String target, long incarnation, long upTo) {
         acknowledgements.put(target, new Batch.Acknowledgement(incarnation, upTo));
     }
 
     Batch takeBatch() {
         List<JobProgress> records = new ArrayList<>();
-        for (JobRun job : changed) {
+        for (JobExecution job : changedJobs) {
             records.add(job.progress());
         }
         Batch batch = new Batch(records, starts, acknowledgements);
-        changed.clear();
+        changedJobs.clear();
         starts.clear();
         acknowledgements.clear();
         return batch;
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Phase.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Phase.java
@@ -5,7 +5,7 @@
     /** There is no run. */
     WAITING,
     /** A place is promised; the run starts once there is room. */
-    ASSIGNED,
+    RESERVED,
     /** The start is about to be durable, or was sent and not yet confirmed. */
     STARTING,
     /** The target confirmed the run. */
@@ -16,7 +16,7 @@
     DONE;
 
     /** Returns whether a run in this phase may take room on its target. */
-    boolean occupies() {
+    boolean mayOccupyTarget() {
         return this == STARTING || this == RUNNING || this == STOPPING;
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Placement.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Placement.java
@@ -14,26 +14,26 @@
  * <p>Holds no state of its own; for the pool's thread only.
  */
 final class Placement {
-    private final Collection<TargetRun> targets;
+    private final Collection<TargetState> targets;
     private final PoolSettings settings;
 
-    Placement(Collection<TargetRun> targets, PoolSettings settings) {
+    Placement(Collection<TargetState> targets, PoolSettings settings) {
         this.targets = targets;
         this.settings = settings;
     }
 
     /** Returns whether new work of {@code unit} may go to {@code target}, room aside. */
-    boolean allowed(Unit unit, TargetRun target, long now) {
-        return suits(unit.job(), unit.step().spec, target)
+    boolean isEligible(PlacementUnit unit, TargetState target, long nowNanos) {
+        return isCompatible(unit.job(), unit.step().spec, target)
                 && target.registered
                 && target.info.incarnation() == target.incarnation
                 && !target.info.draining()
                 && !settings.evacuatedDataCentres().contains(target.info.dataCentre())
-                && target.avoidUntilNanos <= now;
+                && target.excludedUntilNanos <= nowNanos;
     }
 
     /** Returns whether tasks of {@code step} could ever run on {@code target}. */
-    static boolean suits(Job job, Step step, TargetRun target) {
+    static boolean isCompatible(Job job, Step step, TargetState target) {
         if (target.info == null || !target.info.service().equals(job.service())) {
             return false;
         }
@@ -46,74 +46,75 @@
      * Returns a target for every task of {@code unit}, or null if there is not enough room. Fills targets, and then
      * racks, that are in use already, so that whole ones stay free for large units.
      *
-     * @param room the room of a target that the search may use
-     * @param scope the targets to choose from
+     * @param available the room of a target that the search may use
+     * @param candidates the targets to choose from
      */
-    static List<TargetRun> choose(Unit unit, List<TargetRun> scope, Function<TargetRun, Resources> room) {
-        Map<TargetRun, Resources> rooms = new HashMap<>();
-        Map<TargetRun, Integer> slots = new HashMap<>();
-        Map<String, Long> rackRooms = new HashMap<>();
-        int sum = 0;
-        for (TargetRun target : scope) {
-            Resources free = room.apply(target);
-            rooms.put(target, free);
-            rackRooms.merge(target.rack(), Math.max(0, free.accelerators()), Long::sum);
+    static List<TargetState> selectTargets(
+            PlacementUnit unit, List<TargetState> candidates, Function<TargetState, Resources> available) {
+        Map<TargetState, Resources> freeByTarget = new HashMap<>();
+        Map<TargetState, Integer> slots = new HashMap<>();
+        Map<String, Long> freeByRack = new HashMap<>();
+        int total = 0;
+        for (TargetState target : candidates) {
+            Resources free = available.apply(target);
+            freeByTarget.put(target, free);
+            freeByRack.merge(target.rack(), Math.max(0, free.accelerators()), Long::sum);
             int count = slots(unit, target, free);
             if (count > 0) {
                 slots.put(target, count);
-                sum += count;
+                total += count;
             }
         }
-        if (sum < unit.size()) {
+        if (total < unit.size()) {
             return null;
         }
-        List<TargetRun> order = new ArrayList<>(slots.keySet());
-        order.sort(
-                Comparator.comparingLong((TargetRun target) -> rooms.get(target).accelerators())
-                        .thenComparingLong(target -> rackRooms.get(target.rack()))
-                        .thenComparingLong(target -> rooms.get(target).cpuMillis())
-                        .thenComparing(target -> target.id));
+        List<TargetState> order = new ArrayList<>(slots.keySet());
+        order.sort(Comparator.comparingLong(
+                        (TargetState target) -> freeByTarget.get(target).accelerators())
+                .thenComparingLong(target -> freeByRack.get(target.rack()))
+                .thenComparingLong(target -> freeByTarget.get(target).cpuMillis())
+                .thenComparing(target -> target.id));
         return fill(unit.size(), order, slots);
     }
 
-    private static List<TargetRun> fill(int size, List<TargetRun> order, Map<TargetRun, Integer> slots) {
-        List<TargetRun> places = new ArrayList<>();
-        for (TargetRun target : order) {
-            for (int i = 0; i < slots.get(target) && places.size() < size; i++) {
-                places.add(target);
+    private static List<TargetState> fill(int size, List<TargetState> order, Map<TargetState, Integer> slots) {
+        List<TargetState> chosen = new ArrayList<>();
+        for (TargetState target : order) {
+            for (int i = 0; i < slots.get(target) && chosen.size() < size; i++) {
+                chosen.add(target);
             }
-            if (places.size() == size) {
+            if (chosen.size() == size) {
                 break;
             }
         }
-        return places;
+        return chosen;
     }
 
     /** Returns how many tasks of {@code unit} fit into {@code room} on {@code target}. */
-    static int slots(Unit unit, TargetRun target, Resources room) {
+    static int slots(PlacementUnit unit, TargetState target, Resources available) {
         int limit = unit.step().spec.constraints().spreadLimit();
-        int most = unit.size();
+        int max = unit.size();
         if (limit > 0) {
-            most = Math.min(most, limit - present(unit.step(), target));
+            max = Math.min(max, limit - countOn(unit.step(), target));
         }
-        return most <= 0 ? 0 : unit.demand().countFitting(room, most);
+        return max <= 0 ? 0 : unit.demand().countFitting(available, max);
     }
 
-    private static int present(StepRun step, TargetRun target) {
-        int present = 0;
-        for (TaskRun task : step.tasks) {
+    private static int countOn(StepExecution step, TargetState target) {
+        int count = 0;
+        for (TaskExecution task : step.tasks) {
             if (task.target == target) {
-                present++;
+                count++;
             }
         }
-        return present;
+        return count;
     }
 
     /** Returns the targets that {@code unit} may use, by rack. */
-    Map<String, List<TargetRun>> racks(Unit unit, long now) {
-        Map<String, List<TargetRun>> racks = new HashMap<>();
-        for (TargetRun target : targets) {
-            if (allowed(unit, target, now)) {
+    Map<String, List<TargetState>> eligibleTargetsByRack(PlacementUnit unit, long nowNanos) {
+        Map<String, List<TargetState>> racks = new HashMap<>();
+        for (TargetState target : targets) {
+            if (isEligible(unit, target, nowNanos)) {
                 racks.computeIfAbsent(target.rack(), rack -> new ArrayList<>()).add(target);
             }
         }
@@ -121,13 +122,13 @@
     }
 
     /** Returns whether all of {@code unit} could ever fit on one of {@code racks}. */
-    static boolean fitsOneRack(Unit unit, Map<String, List<TargetRun>> racks) {
-        for (List<TargetRun> rack : racks.values()) {
-            int sum = 0;
-            for (TargetRun target : rack) {
-                sum += slots(unit, target, target.capacity());
+    static boolean fitsOnOneRack(PlacementUnit unit, Map<String, List<TargetState>> racks) {
+        for (List<TargetState> rack : racks.values()) {
+            int total = 0;
+            for (TargetState target : rack) {
+                total += slots(unit, target, target.capacity());
             }
-            if (sum >= unit.size()) {
+            if (total >= unit.size()) {
                 return true;
             }
         }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/PlacementPass.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PlacementPass.java
@@ -19,267 +19,278 @@
     private static final Logger LOG = Logger.getLogger(PlacementPass.class);
 
     /** Time within its guarantee after which a gang no longer waits for one rack, in milliseconds. */
-    private static final long CLAIM_PATIENCE_MILLIS = 1_000;
+    private static final long CLAIM_LOCALITY_WAIT_MILLIS = 1_000;
 
     /** Time after which a unit that does not fit has room set aside, in milliseconds. */
-    private static final long SET_ASIDE_MILLIS = 3_000;
+    private static final long ADVANCE_RESERVATION_WAIT_MILLIS = 3_000;
 
     /** Longest wait for running work to end before other work is stopped, in seconds. */
-    private static final double SOON_SECONDS = 0.8;
+    private static final double MAX_COMPLETION_WAIT_SECONDS = 0.8;
 
     /** Wait for running work to end that any unit can afford, in seconds. */
-    private static final double SHORT_SECONDS = 0.3;
+    private static final double MIN_COMPLETION_WAIT_SECONDS = 0.3;
 
     /** Part of the time that a unit has to spare that it may wait for running work to end. */
-    private static final double SOON_SHARE = 0.5;
+    private static final double COMPLETION_WAIT_SLACK_FRACTION = 0.5;
 
     /** Time within which a unit may choose to wait for running work, in milliseconds. */
-    private static final long SOON_CHOICE_MILLIS = 200;
+    private static final long COMPLETION_WAIT_CHOICE_MILLIS = 200;
 
     /** Time after which a unit no longer waits for work that was about to end, in milliseconds. */
-    private static final long SOON_OVER_MILLIS = 1_000;
+    private static final long COMPLETION_WAIT_TIMEOUT_MILLIS = 1_000;
 
     /** Time for which an urgent unit keeps room that was set aside before it chooses anew, in milliseconds. */
-    private static final long KEPT_ASIDE_MILLIS = 1_000;
+    private static final long ADVANCE_RESERVATION_HOLD_MILLIS = 1_000;
 
     /** Pause between two searches for running work that could make room for the same step, in milliseconds. */
-    private static final long SEARCH_PAUSE_MILLIS = 100;
+    private static final long SEARCH_INTERVAL_MILLIS = 100;
 
     /** Most work that may be lost for a unit beyond its guarantee, as a multiple of its own. */
-    private static final double MOST_LOSS = 2.0;
+    private static final double MAX_LOSS_FACTOR = 2.0;
 
     /** Work that may be lost for any urgent unit, however small, in core-seconds. */
-    private static final double LOSS_FOR_ANY = 1_000;
+    private static final double MIN_LOSS_BUDGET_CORE_SECONDS = 1_000;
 
     /** Most units that have room set aside while they wait. */
-    private static final int MOST_SET_ASIDE = 1;
+    private static final int MAX_ADVANCE_RESERVATIONS = 1;
 
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    private final Parts parts;
-    private final Collection<JobRun> jobs;
-    private final Collection<TargetRun> targets;
+    private final Context context;
+    private final Collection<JobExecution> jobs;
+    private final Collection<TargetState> targets;
     private final Placement placement;
-    private final Accounts accounts;
+    private final AccountDemand accountDemand;
     private final ClockReading now;
-    private final Set<Shape> full = new HashSet<>();
-    private int setAside;
+    private final Set<DemandKey> unplaceable = new HashSet<>();
+    private int advanceReservations;
 
     PlacementPass(
-            Parts parts,
-            Collection<JobRun> jobs,
-            Collection<TargetRun> targets,
+            Context context,
+            Collection<JobExecution> jobs,
+            Collection<TargetState> targets,
             PoolSettings settings,
             ClockReading now) {
-        this.parts = parts;
+        this.context = context;
         this.jobs = jobs;
         this.targets = targets;
         this.now = now;
         placement = new Placement(targets, settings);
-        accounts = Accounts.of(jobs, settings);
+        accountDemand = AccountDemand.of(jobs, settings);
     }
 
     /**
      * What outlives a pass.
      *
      * @param outbox takes starts
-     * @param suspicion knows where a job failed
-     * @param ends stops runs
+     * @param targetHealth knows where a job failed
+     * @param taskLifecycle stops runs
      */
-    record Parts(Outbox outbox, Suspicion suspicion, Ends ends) {}
+    record Context(Outbox outbox, TargetHealth targetHealth, TaskLifecycle taskLifecycle) {}
 
     /** A demand that found no room in this pass; others like it need not be tried. */
-    private record Shape(String service, Resources demand, String label, String nearRack) {}
+    private record DemandKey(String service, Resources demand, String label, String nearRack) {}
 
     void run() {
-        List<Unit> waiting = new ArrayList<>();
-        for (JobRun job : jobs) {
+        List<PlacementUnit> waiting = new ArrayList<>();
+        for (JobExecution job : jobs) {
             if (!job.state.isTerminal()) {
-                collect(job, waiting);
+                collectWaiting(job, waiting);
             }
         }
-        waiting.sort(order());
-        for (Unit unit : waiting) {
+        waiting.sort(schedulingOrder());
+        for (PlacementUnit unit : waiting) {
             place(unit);
         }
-        new Starts(parts, placement, now).run(jobs);
+        new UnitStarter(context, placement, now).startReserved(jobs);
     }
 
-    private Comparator<Unit> order() {
-        return Comparator.comparingInt(Unit::priority)
-                .thenComparing(unit ->
-                        unit.priority() == 0 && !accounts.within(unit.job().account()))
-                .thenComparing(unit -> unit.step().job.objective.outlook(unit.step().occurrence, now.wallClockMillis()))
+    private Comparator<PlacementUnit> schedulingOrder() {
+        return Comparator.comparingInt(PlacementUnit::priority)
+                .thenComparing(unit -> unit.priority() == 0
+                        && !accountDemand.isWithinGuarantee(unit.job().account()))
+                .thenComparing(
+                        unit -> unit.step().job.objective.deadlineStatus(unit.step().occurrence, now.wallClockMillis()))
                 .thenComparingLong(unit -> unit.step().slackMillis(now))
                 .thenComparing(unit -> unit.job().id());
     }
 
-    private void collect(JobRun job, List<Unit> waiting) {
-        job.beginDue(now.wallClockMillis());
-        for (List<StepRun> steps : job.open()) {
-            for (StepRun step : steps) {
-                if (step.done() || !mayRun(step, steps)) {
+    private void collectWaiting(JobExecution job, List<PlacementUnit> waiting) {
+        job.openDueOccurrences(now.wallClockMillis());
+        for (List<StepExecution> steps : job.openOccurrences()) {
+            for (StepExecution step : steps) {
+                if (step.isDone() || !arePredecessorsDone(step, steps)) {
                     continue;
                 }
                 if (step.readyNanos == 0) {
                     step.readyNanos = now.monotonicNanos();
-                    step.searchAgainNanos = now.monotonicNanos();
+                    step.nextSearchNanos = now.monotonicNanos();
                 }
-                collect(step, waiting);
+                collectWaiting(step, waiting);
             }
         }
     }
 
-    private static boolean mayRun(StepRun step, List<StepRun> steps) {
+    private static boolean arePredecessorsDone(StepExecution step, List<StepExecution> steps) {
         for (int earlier : step.spec.after()) {
-            if (!steps.get(earlier).done()) {
+            if (!steps.get(earlier).isDone()) {
                 return false;
             }
         }
         return true;
     }
 
-    private void collect(StepRun step, List<Unit> waiting) {
+    private void collectWaiting(StepExecution step, List<PlacementUnit> waiting) {
         if (!step.spec.mode().gang()) {
-            for (TaskRun task : step.tasks) {
+            for (TaskExecution task : step.tasks) {
                 if (task.phase == Phase.WAITING) {
-                    waiting.add(new Unit(step, List.of(task)));
+                    waiting.add(new PlacementUnit(step, List.of(task)));
                 }
             }
             return;
         }
         if (step.tasks.stream().allMatch(task -> task.phase == Phase.WAITING)) {
-            waiting.add(new Unit(step, step.tasks));
-        } else if (step.tasks.get(0).phase == Phase.ASSIGNED
-                && step.job.job.terms().priority() > 0) {
-            setAside++;
+            waiting.add(new PlacementUnit(step, step.tasks));
+        } else if (step.tasks.get(0).phase == Phase.RESERVED
+                && step.job.spec.terms().priority() > 0) {
+            advanceReservations++;
         }
     }
 
-    private void place(Unit unit) {
-        Step.Constraints limits = unit.step().spec.constraints();
-        Shape shape = new Shape(unit.job().service(), unit.demand(), limits.label(), limits.nearRack());
-        boolean plain = unit.size() == 1 && limits.spreadLimit() == 0;
-        if (plain && full.contains(shape)) {
+    private void place(PlacementUnit unit) {
+        Step.Constraints constraints = unit.step().spec.constraints();
+        DemandKey key = new DemandKey(unit.job().service(), unit.demand(), constraints.label(), constraints.nearRack());
+        boolean cacheable = unit.size() == 1 && constraints.spreadLimit() == 0;
+        if (cacheable && unplaceable.contains(key)) {
             return;
         }
-        Map<String, List<TargetRun>> racks = placement.racks(unit, now.monotonicNanos());
+        Map<String, List<TargetState>> racks = placement.eligibleTargetsByRack(unit, now.monotonicNanos());
         racks.values()
-                .forEach(rack -> rack.removeIf(
-                        target -> parts.suspicion().shuns(unit.job().id(), target, targets)));
-        List<Tier> tiers = Tier.of(unit, racks, overdueClaim(unit), waited(unit));
-        boolean search = now.monotonicNanos() - unit.step().searchAgainNanos >= 0;
-        for (Tier tier : tiers) {
-            if (placeFree(unit, tier) || search && (waitForEnds(unit, tier) || stopOthers(unit, tier))) {
+                .forEach(rack -> rack.removeIf(target ->
+                        context.targetHealth().isExcludedForJob(unit.job().id(), target, targets)));
+        List<LocalityTier> tiers = LocalityTier.of(unit, racks, isOverdueClaim(unit), waitedMillis(unit));
+        boolean mayDisplace = now.monotonicNanos() - unit.step().nextSearchNanos >= 0;
+        for (LocalityTier tier : tiers) {
+            if (placeInFreeCapacity(unit, tier)
+                    || mayDisplace && (waitForCompletions(unit, tier) || preempt(unit, tier))) {
                 return;
             }
         }
-        for (Tier tier : tiers) {
-            if (search && waitForRoom(unit, tier)) {
+        for (LocalityTier tier : tiers) {
+            if (mayDisplace && reserveInAdvance(unit, tier)) {
                 return;
             }
         }
-        if (search) {
-            unit.step().searchAgainNanos = now.nanosAfter(SEARCH_PAUSE_MILLIS);
+        if (mayDisplace) {
+            unit.step().nextSearchNanos = now.nanosAfter(SEARCH_INTERVAL_MILLIS);
         }
-        if (plain) {
-            full.add(shape);
+        if (cacheable) {
+            unplaceable.add(key);
         }
     }
 
-    private long waited(Unit unit) {
+    private long waitedMillis(PlacementUnit unit) {
         return now.millisSince(unit.step().readyNanos);
     }
 
-    private boolean overdueClaim(Unit unit) {
-        return claims(unit) && waited(unit) > CLAIM_PATIENCE_MILLIS;
+    private boolean isOverdueClaim(PlacementUnit unit) {
+        return isClaim(unit) && waitedMillis(unit) > CLAIM_LOCALITY_WAIT_MILLIS;
     }
 
-    private boolean claims(Unit unit) {
-        return unit.priority() == 0 && accounts.within(unit.job().account());
+    private boolean isClaim(PlacementUnit unit) {
+        return unit.priority() == 0
+                && accountDemand.isWithinGuarantee(unit.job().account());
     }
 
-    private boolean placeFree(Unit unit, Tier tier) {
-        List<TargetRun> best = null;
-        long bestLeft = Long.MAX_VALUE;
-        for (List<TargetRun> group : tier.groups()) {
-            List<TargetRun> places = Placement.choose(unit, group, TargetRun::freeSoon);
-            if (places == null) {
+    private boolean placeInFreeCapacity(PlacementUnit unit, LocalityTier tier) {
+        List<TargetState> best = null;
+        long leastFree = Long.MAX_VALUE;
+        for (List<TargetState> group : tier.groups()) {
+            List<TargetState> chosen = Placement.selectTargets(unit, group, TargetState::projectedFree);
+            if (chosen == null) {
                 continue;
             }
-            long left = 0;
-            for (TargetRun target : group) {
-                left += target.freeSoon().accelerators();
+            long free = 0;
+            for (TargetState target : group) {
+                free += target.projectedFree().accelerators();
             }
-            if (left < bestLeft) {
-                best = places;
-                bestLeft = left;
+            if (free < leastFree) {
+                best = chosen;
+                leastFree = free;
             }
         }
         if (best == null) {
             return false;
         }
-        assign(unit, best, "free");
+        reserve(unit, best, "free");
         return true;
     }
 
     /** Waits for work that is about to end rather than stop any. */
-    private boolean waitForEnds(Unit unit, Tier tier) {
-        if (unit.priority() != 0 || waited(unit) > SOON_CHOICE_MILLIS) {
+    private boolean waitForCompletions(PlacementUnit unit, LocalityTier tier) {
+        if (unit.priority() != 0 || waitedMillis(unit) > COMPLETION_WAIT_CHOICE_MILLIS) {
             return false;
         }
-        Victims.Choice best = cheapest(unit, tier, PlacementPass::endsByItself, Victims.Cost.TIME_LEFT);
-        if (best == null || best.loss() > affordableSeconds(unit)) {
+        PreemptionPlanner.Plan best =
+                cheapestPlan(unit, tier, PlacementPass::runsToCompletion, PreemptionPlanner.CostModel.REMAINING_TIME);
+        if (best == null || best.cost() > completionWaitBudgetSeconds(unit)) {
             return false;
         }
-        assign(unit, best.places(), "soon");
-        unit.step().promiseEndsNanos = now.nanosAfter(SOON_OVER_MILLIS - waited(unit));
+        reserve(unit, best.targets(), "soon");
+        unit.step().reservationExpiresNanos = now.nanosAfter(COMPLETION_WAIT_TIMEOUT_MILLIS - waitedMillis(unit));
         return true;
     }
 
     /** Returns how long a unit can wait without being late for that, in seconds. */
-    private double affordableSeconds(Unit unit) {
-        double spare = unit.step().slackMillis(now) / MILLIS_PER_SECOND;
-        return Math.clamp(SOON_SHARE * spare, SHORT_SECONDS, SOON_SECONDS);
+    private double completionWaitBudgetSeconds(PlacementUnit unit) {
+        double slackSeconds = unit.step().slackMillis(now) / MILLIS_PER_SECOND;
+        return Math.clamp(
+                COMPLETION_WAIT_SLACK_FRACTION * slackSeconds,
+                MIN_COMPLETION_WAIT_SECONDS,
+                MAX_COMPLETION_WAIT_SECONDS);
     }
 
-    private static boolean endsByItself(TaskRun task) {
+    private static boolean runsToCompletion(TaskExecution task) {
         return task.phase == Phase.RUNNING && !task.step.spec.mode().lasting();
     }
 
-    private Victims.Choice cheapest(Unit unit, Tier tier, Predicate<TaskRun> allowed, Victims.Cost cost) {
-        Victims.Choice best = null;
-        for (List<TargetRun> group : tier.groups()) {
-            Victims.Choice choice = Victims.find(unit, group, allowed, cost, now);
-            if (choice != null && (best == null || choice.loss() < best.loss())) {
-                best = choice;
+    private PreemptionPlanner.Plan cheapestPlan(
+            PlacementUnit unit,
+            LocalityTier tier,
+            Predicate<TaskExecution> allowed,
+            PreemptionPlanner.CostModel costModel) {
+        PreemptionPlanner.Plan best = null;
+        for (List<TargetState> group : tier.groups()) {
+            PreemptionPlanner.Plan plan = PreemptionPlanner.find(unit, group, allowed, costModel, now);
+            if (plan != null && (best == null || plan.cost() < best.cost())) {
+                best = plan;
             }
         }
         return best;
     }
 
     /** Returns the work that may be lost so that a unit beyond its guarantee runs at once, in core-seconds. */
-    private static double affordableLoss(Unit unit) {
+    private static double lossBudgetCoreSeconds(PlacementUnit unit) {
         double work =
                 unit.size() * unit.demand().coreEquivalents() * unit.step().spec.estimateSeconds();
-        return Math.max(LOSS_FOR_ANY, MOST_LOSS * work);
+        return Math.max(MIN_LOSS_BUDGET_CORE_SECONDS, MAX_LOSS_FACTOR * work);
     }
 
-    private boolean stopOthers(Unit unit, Tier tier) {
+    private boolean preempt(PlacementUnit unit, LocalityTier tier) {
         if (unit.priority() != 0) {
             return false;
         }
-        boolean claim = claims(unit);
-        Predicate<TaskRun> allowed = task -> task.job().terms().priority() > 0
-                || claim && !accounts.within(task.job().account());
-        Victims.Choice best = cheapest(unit, tier, allowed, Victims.Cost.LOST_WORK);
-        if (best == null || !claim && best.loss() > affordableLoss(unit)) {
+        boolean claim = isClaim(unit);
+        Predicate<TaskExecution> allowed = task -> task.job().terms().priority() > 0
+                || claim && !accountDemand.isWithinGuarantee(task.job().account());
+        PreemptionPlanner.Plan best = cheapestPlan(unit, tier, allowed, PreemptionPlanner.CostModel.LOST_WORK);
+        if (best == null || !claim && best.cost() > lossBudgetCoreSeconds(unit)) {
             return false;
         }
         String why = claim ? "claim" : "priority";
-        for (TaskRun task : best.stops()) {
-            if (task.phase == Phase.ASSIGNED) {
-                parts.ends().unassign(task);
+        for (TaskExecution task : best.victims()) {
+            if (task.phase == Phase.RESERVED) {
+                context.taskLifecycle().cancelReservation(task);
                 continue;
             }
             LOG.infof(
@@ -290,43 +301,44 @@
                     task.target.id,
                     why,
                     unit.job().id());
-            parts.ends().stop(task, now);
+            context.taskLifecycle().stop(task, now);
         }
-        countPreemptions(best.stops());
-        assign(unit, best.places(), why);
+        countPreemptions(best.victims());
+        reserve(unit, best.targets(), why);
         return true;
     }
 
-    private static void countPreemptions(List<TaskRun> stopped) {
-        Set<StepRun> steps = new HashSet<>();
-        for (TaskRun task : stopped) {
+    private static void countPreemptions(List<TaskExecution> victims) {
+        Set<StepExecution> steps = new HashSet<>();
+        for (TaskExecution task : victims) {
             if (task.phase == Phase.STOPPING && steps.add(task.step)) {
-                task.step.preemptions++;
+                task.step.preemptionCount++;
             }
         }
     }
 
     /** Sets room aside that frees up as running work ends, so that large units are not passed over for ever. */
-    private boolean waitForRoom(Unit unit, Tier tier) {
-        if (setAside >= MOST_SET_ASIDE
-                || waited(unit) < SET_ASIDE_MILLIS
+    private boolean reserveInAdvance(PlacementUnit unit, LocalityTier tier) {
+        if (advanceReservations >= MAX_ADVANCE_RESERVATIONS
+                || waitedMillis(unit) < ADVANCE_RESERVATION_WAIT_MILLIS
                 || !unit.step().spec.mode().gang()) {
             return false;
         }
-        Victims.Choice best = cheapest(unit, tier, PlacementPass::endsByItself, Victims.Cost.TIME_LEFT);
+        PreemptionPlanner.Plan best =
+                cheapestPlan(unit, tier, PlacementPass::runsToCompletion, PreemptionPlanner.CostModel.REMAINING_TIME);
         if (best == null) {
             return false;
         }
-        setAside++;
-        assign(unit, best.places(), "set-aside");
-        unit.step().promiseEndsNanos = now.nanosAfter(KEPT_ASIDE_MILLIS);
+        advanceReservations++;
+        reserve(unit, best.targets(), "set-aside");
+        unit.step().reservationExpiresNanos = now.nanosAfter(ADVANCE_RESERVATION_HOLD_MILLIS);
         return true;
     }
 
-    private void assign(Unit unit, List<TargetRun> places, String why) {
-        unit.step().promiseEndsNanos = now.monotonicNanos();
+    private void reserve(PlacementUnit unit, List<TargetState> chosen, String why) {
+        unit.step().reservationExpiresNanos = now.monotonicNanos();
         for (int i = 0; i < unit.size(); i++) {
-            places.get(i).put(unit.tasks().get(i), Phase.ASSIGNED);
+            chosen.get(i).put(unit.tasks().get(i), Phase.RESERVED);
         }
         LOG.infof(
                 "place: request=%s step=%s tasks=%s cores=%.1f account=%s target=%s why=%s waited_ms=%s",
@@ -335,8 +347,8 @@
                 unit.size(),
                 unit.demand().coreEquivalents(),
                 unit.job().account(),
-                places.get(0).id,
+                chosen.get(0).id,
                 why,
-                waited(unit));
+                waitedMillis(unit));
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Unit.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PlacementUnit.java
@@ -10,9 +10,9 @@
  * @param step their step
  * @param tasks the tasks, all waiting
  */
-record Unit(StepRun step, List<TaskRun> tasks) {
+record PlacementUnit(StepExecution step, List<TaskExecution> tasks) {
     Job job() {
-        return step.job.job;
+        return step.job.spec;
     }
 
     int priority() {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Pool.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Pool.java
@@ -20,14 +20,14 @@
     private static final Logger LOG = Logger.getLogger(Pool.class);
 
     /** Time after which a stop that has not worked is sent again, in milliseconds. */
-    private static final long STOP_AGAIN_MILLIS = 300;
+    private static final long STOP_RETRY_MILLIS = 300;
 
-    private final Map<String, JobRun> jobs = new LinkedHashMap<>();
-    private final Map<String, TargetRun> targets = new TreeMap<>();
-    private final Suspicion suspicion = new Suspicion();
+    private final Map<String, JobExecution> jobs = new LinkedHashMap<>();
+    private final Map<String, TargetState> targets = new TreeMap<>();
+    private final TargetHealth targetHealth = new TargetHealth();
     private final Outbox outbox = new Outbox();
-    private final Ends ends = new Ends(outbox, suspicion);
-    private final PlacementPass.Parts parts = new PlacementPass.Parts(outbox, suspicion, ends);
+    private final TaskLifecycle taskLifecycle = new TaskLifecycle(outbox, targetHealth);
+    private final PlacementPass.Context passContext = new PlacementPass.Context(outbox, targetHealth, taskLifecycle);
     private PoolSettings settings = PoolSettings.EMPTY;
 
     /** Replaces what operators have configured. */
@@ -37,26 +37,26 @@
 
     /** Takes note of a target's registration. It gets work only once a report of the same life has come. */
     public void register(TargetInfo info) {
-        TargetRun target = targets.computeIfAbsent(info.id(), TargetRun::new);
+        TargetState target = targets.computeIfAbsent(info.id(), TargetState::new);
         target.info = info;
         target.registered = true;
     }
 
     /** Takes note that a target's registration is gone. What it runs may go on. */
     public void unregister(String id) {
-        TargetRun target = targets.get(id);
+        TargetState target = targets.get(id);
         if (target == null) {
             return;
         }
         target.registered = false;
-        if (target.occupants.isEmpty()) {
+        if (target.tasks.isEmpty()) {
             targets.remove(id);
         }
     }
 
     /** Adds a job; one that is there already is left as it is. */
     public void submit(Job job) {
-        if (jobs.putIfAbsent(job.id(), new JobRun(job)) == null) {
+        if (jobs.putIfAbsent(job.id(), new JobExecution(job)) == null) {
             LOG.infof(
                     "accept: request=%s queue=%s account=%s priority=%s steps=%s",
                     job.id(),
@@ -69,128 +69,128 @@
 
     /** Adds a job with its durable progress. Its runs may still be there until reports tell. */
     public void restore(Job job, JobProgress progress, ClockReading now) {
-        JobRun run = new JobRun(job);
-        run.state = progress.state();
-        run.endedMillis = progress.endedMillis();
-        run.doneOccurrences.addAll(progress.doneOccurrences());
-        jobs.put(job.id(), run);
-        for (JobProgress.Task saved : progress.tasks()) {
-            restore(run, saved, now);
+        JobExecution execution = new JobExecution(job);
+        execution.state = progress.state();
+        execution.endedMillis = progress.endedMillis();
+        execution.doneOccurrences.addAll(progress.doneOccurrences());
+        jobs.put(job.id(), execution);
+        for (JobProgress.Task stored : progress.tasks()) {
+            restore(execution, stored, now);
         }
     }
 
-    private void restore(JobRun run, JobProgress.Task saved, ClockReading now) {
-        StepRun step = run.occurrence(saved.occurrence()).get(saved.step());
-        TaskRun task = step.tasks.get(saved.index());
-        task.lastRun = saved.lastRun();
-        task.failures = saved.failures();
-        task.saved = saved.saved();
-        if (saved.done()) {
+    private void restore(JobExecution execution, JobProgress.Task stored, ClockReading now) {
+        StepExecution step = execution.occurrence(stored.occurrence()).get(stored.step());
+        TaskExecution task = step.tasks.get(stored.index());
+        task.lastRun = stored.lastRun();
+        task.failures = stored.failures();
+        task.checkpoint = stored.saved();
+        if (stored.done()) {
             task.phase = Phase.DONE;
-            step.doneTasks++;
-        } else if (!saved.target().isEmpty()) {
-            TargetRun target = targets.computeIfAbsent(saved.target(), TargetRun::new);
-            task.incarnation = saved.incarnation();
+            step.doneTaskCount++;
+        } else if (!stored.target().isEmpty()) {
+            TargetState target = targets.computeIfAbsent(stored.target(), TargetState::new);
+            task.incarnation = stored.incarnation();
             task.confirmedNanos = now.monotonicNanos();
-            task.advancedNanos = now.monotonicNanos();
-            target.put(task, run.state.isTerminal() ? Phase.STOPPING : Phase.RUNNING);
+            task.lastProgressNanos = now.monotonicNanos();
+            target.put(task, execution.state.isTerminal() ? Phase.STOPPING : Phase.RUNNING);
         }
     }
 
     /** Cancels a job, unless it has ended. */
     public void cancel(String id, ClockReading now) {
-        JobRun job = jobs.get(id);
+        JobExecution job = jobs.get(id);
         if (job == null || job.state.isTerminal()) {
             return;
         }
         job.end(JobState.CANCELLED, now.wallClockMillis());
-        ends.stopAll(job, now);
-        outbox.changed(job);
+        taskLifecycle.stopAll(job, now);
+        outbox.markChanged(job);
         LOG.infof("cancel: request=%s outcome=stopping", id);
     }
 
     /** Takes note of what a target said. Reports of an earlier life than the newest known are ignored. */
     public void handleReport(TargetReport report, ClockReading now) {
-        TargetRun target = targets.computeIfAbsent(report.target(), TargetRun::new);
+        TargetState target = targets.computeIfAbsent(report.target(), TargetState::new);
         if (report.incarnation() < target.incarnation) {
             return;
         }
-        adopt(target, report);
-        reborn(target, report.incarnation(), now);
-        long upTo = 0;
+        adoptRuns(target, report);
+        handleRestart(target, report.incarnation(), now);
+        long lastNumber = 0;
         for (TargetReport.Ended end : report.ended()) {
-            ends.settle(find(end.task()), target, end, now);
-            upTo = end.number();
+            taskLifecycle.handleEnd(findTask(end.task()), target, end, now);
+            lastNumber = end.number();
         }
-        if (upTo > 0) {
-            outbox.acknowledge(target.id, target.incarnation, upTo);
+        if (lastNumber > 0) {
+            outbox.addAcknowledgement(target.id, target.incarnation, lastNumber);
         }
-        running(target, report, now);
+        reconcileRunning(target, report, now);
     }
 
     /** A start may have reached a later life than it was meant for; such runs are kept. */
-    private void adopt(TargetRun target, TargetReport report) {
+    private void adoptRuns(TargetState target, TargetReport report) {
         for (TargetReport.Running run : report.running()) {
-            TaskRun task = target.occupants.get(run.task());
-            if (task != null && task.lastRun == run.run() && task.phase.occupies()) {
+            TaskExecution task = target.tasks.get(run.task());
+            if (task != null && task.lastRun == run.run() && task.phase.mayOccupyTarget()) {
                 task.incarnation = report.incarnation();
             }
         }
     }
 
-    private void running(TargetRun target, TargetReport report, ClockReading now) {
-        Set<TaskId> seen = new HashSet<>();
-        target.strays = Resources.NONE;
+    private void reconcileRunning(TargetState target, TargetReport report, ClockReading now) {
+        Set<TaskId> reported = new HashSet<>();
+        target.strayDemand = Resources.NONE;
         for (TargetReport.Running run : report.running()) {
-            TaskRun task = find(run.task());
-            if (task == null || task.target != target || task.lastRun != run.run() || !task.phase.occupies()) {
-                stray(target, task, run);
+            TaskExecution task = findTask(run.task());
+            if (task == null || task.target != target || task.lastRun != run.run() || !task.phase.mayOccupyTarget()) {
+                stopStray(target, task, run);
                 continue;
             }
-            seen.add(task.id);
-            progress(target, task, run, now);
+            reported.add(task.id);
+            recordProgress(target, task, run, now);
         }
-        for (TaskRun task : List.copyOf(target.occupants.values())) {
+        for (TaskExecution task : List.copyOf(target.tasks.values())) {
             boolean known = task.phase == Phase.RUNNING || task.phase == Phase.STOPPING;
             boolean confirmed = task.confirmedNanos != 0 && task.confirmedNanos < report.requestNanos();
-            if (known && confirmed && !seen.contains(task.id)) {
+            if (known && confirmed && !reported.contains(task.id)) {
                 LOG.infof(
                         "run: request=%s task=%s run=%s target=%s outcome=absent",
                         task.id.job(), task.id, task.lastRun, target.id);
-                ends.over(task, now);
+                taskLifecycle.requeue(task, now);
             }
         }
     }
 
-    private void stray(TargetRun target, TaskRun task, TargetReport.Running run) {
+    private void stopStray(TargetState target, TaskExecution task, TargetReport.Running run) {
         if (task != null) {
-            target.strays = target.strays.plus(task.demand());
+            target.strayDemand = target.strayDemand.plus(task.demand());
         }
         LOG.infof(
                 "run: request=%s task=%s run=%s target=%s outcome=stray",
                 run.task().job(), run.task(), run.run(), target.id);
-        outbox.stop(target.id, target.incarnation, run.task(), run.run());
+        outbox.addStop(target.id, target.incarnation, run.task(), run.run());
     }
 
-    private void progress(TargetRun target, TaskRun task, TargetReport.Running run, ClockReading now) {
+    private void recordProgress(TargetState target, TaskExecution task, TargetReport.Running run, ClockReading now) {
         if (!run.checkpoint().isEmpty()) {
-            ends.save(task, run.checkpoint());
+            taskLifecycle.saveCheckpoint(task, run.checkpoint());
         }
         if (task.phase == Phase.STARTING) {
-            confirm(target, task, now);
+            confirmStart(target, task, now);
         }
         if (task.phase == Phase.STOPPING) {
-            if (now.millisSince(task.stopNanos) > STOP_AGAIN_MILLIS) {
-                ends.stop(task, now);
+            if (now.millisSince(task.stopSentNanos) > STOP_RETRY_MILLIS) {
+                taskLifecycle.stop(task, now);
             }
             return;
         }
-        task.advance(run.percent(), now.monotonicNanos());
-        ends.stopIfStuck(task, now);
+        task.recordProgress(run.percent(), now.monotonicNanos());
+        taskLifecycle.checkForStall(task, now);
     }
 
-    private void confirm(TargetRun target, TaskRun task, ClockReading now) {
-        task.begin(now.monotonicNanos());
+    private void confirmStart(TargetState target, TaskExecution task, ClockReading now) {
+        task.confirmRun(now.monotonicNanos());
         if (task.phase == Phase.STARTING) {
             target.put(task, Phase.RUNNING);
         }
@@ -198,9 +198,9 @@
 
     /** Takes note that a target confirmed a start. */
     public void handleStarted(TargetCommand.Start start, ClockReading now) {
-        TaskRun task = current(start);
+        TaskExecution task = currentTask(start);
         if (task != null && task.confirmedNanos == 0) {
-            confirm(task.target, task, now);
+            confirmStart(task.target, task, now);
         }
     }
 
@@ -210,72 +210,72 @@
      * @param avoidMillis time in which no new work goes to that target, in milliseconds
      */
     public void handleStartFailure(TargetCommand.Start start, String reason, long avoidMillis, ClockReading now) {
-        TaskRun task = current(start);
+        TaskExecution task = currentTask(start);
         LOG.infof(
                 "start: request=%s task=%s run=%s target=%s outcome=refused reason=%s",
                 start.task().job(), start.task(), start.run(), start.target(), reason);
         exclude(start.target(), avoidMillis, now);
         if (task != null) {
-            ends.over(task, now);
+            taskLifecycle.requeue(task, now);
         }
     }
 
     /** Returns the task, or null if there is none of that name. */
-    private TaskRun find(TaskId id) {
-        JobRun job = jobs.get(id.job());
+    private TaskExecution findTask(TaskId id) {
+        JobExecution job = jobs.get(id.job());
         return job == null ? null : job.task(id);
     }
 
-    private TaskRun current(TargetCommand.Start start) {
-        TaskRun task = find(start.task());
-        boolean same = task != null
-                && task.phase.occupies()
+    private TaskExecution currentTask(TargetCommand.Start start) {
+        TaskExecution task = findTask(start.task());
+        boolean current = task != null
+                && task.phase.mayOccupyTarget()
                 && task.lastRun == start.run()
                 && task.target.id.equals(start.target());
-        return same ? task : null;
+        return current ? task : null;
     }
 
     /** Sends no new work to a target for {@code millis} milliseconds. */
     public void exclude(String id, long millis, ClockReading now) {
-        TargetRun target = targets.get(id);
+        TargetState target = targets.get(id);
         if (target != null && millis > 0) {
-            Suspicion.avoid(target, now.nanosAfter(millis));
+            TargetHealth.exclude(target, now.nanosAfter(millis));
         }
     }
 
     /** Takes note that nothing sent to this target so far runs any more. */
     public void handleLeaseExpiry(String id, ClockReading now) {
-        TargetRun target = targets.get(id);
+        TargetState target = targets.get(id);
         if (target == null) {
             return;
         }
-        for (TaskRun task : List.copyOf(target.occupants.values())) {
-            ends.over(task, now);
+        for (TaskExecution task : List.copyOf(target.tasks.values())) {
+            taskLifecycle.requeue(task, now);
         }
         if (!target.registered) {
             targets.remove(id);
         }
     }
 
-    private void reborn(TargetRun target, long incarnation, ClockReading now) {
+    private void handleRestart(TargetState target, long incarnation, ClockReading now) {
         if (incarnation <= target.incarnation) {
             return;
         }
         target.incarnation = incarnation;
-        target.strays = Resources.NONE;
-        target.strikes = 0;
-        target.avoidUntilNanos = now.monotonicNanos();
-        for (TaskRun task : List.copyOf(target.occupants.values())) {
-            if (task.phase == Phase.ASSIGNED || task.incarnation < incarnation) {
-                ends.over(task, now);
+        target.strayDemand = Resources.NONE;
+        target.failureScore = 0;
+        target.excludedUntilNanos = now.monotonicNanos();
+        for (TaskExecution task : List.copyOf(target.tasks.values())) {
+            if (task.phase == Phase.RESERVED || task.incarnation < incarnation) {
+                taskLifecycle.requeue(task, now);
             }
         }
     }
 
     /** Decides what runs next. */
     public void schedule(ClockReading now) {
-        targets.values().forEach(target -> ends.moveOff(target, now));
-        new PlacementPass(parts, jobs.values(), targets.values(), settings, now).run();
+        targets.values().forEach(target -> taskLifecycle.evictBeforeDeparture(target, now));
+        new PlacementPass(passContext, jobs.values(), targets.values(), settings, now).run();
     }
 
     /** Returns what is to be made durable now, and what depends on it. */
@@ -291,8 +291,8 @@
     /** Returns the targets that may run something that was sent to them. */
     public Collection<String> occupiedTargets() {
         List<String> ids = new ArrayList<>();
-        for (TargetRun target : targets.values()) {
-            if (target.occupants.values().stream().anyMatch(task -> task.phase.occupies())) {
+        for (TargetState target : targets.values()) {
+            if (target.tasks.values().stream().anyMatch(task -> task.phase.mayOccupyTarget())) {
                 ids.add(target.id);
             }
         }
@@ -302,11 +302,11 @@
     /** Returns the jobs that ended before {@code millis}, in milliseconds since 1970, with no run left. */
     public List<String> jobsEndedBefore(long millis) {
         List<String> ids = new ArrayList<>();
-        for (JobRun job : jobs.values()) {
+        for (JobExecution job : jobs.values()) {
             if (job.state.isTerminal()
                     && job.endedMillis < millis
-                    && job.tasks().stream().noneMatch(task -> task.phase.occupies())) {
-                ids.add(job.job.id());
+                    && job.tasks().stream().noneMatch(task -> task.phase.mayOccupyTarget())) {
+                ids.add(job.spec.id());
             }
         }
         return ids;
@@ -315,6 +315,6 @@
     /** Drops a job that has ended. */
     public void removeJob(String id) {
         jobs.remove(id);
-        suspicion.forget(id);
+        targetHealth.removeJob(id);
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Resources.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Resources.java
@@ -29,23 +29,25 @@
     }
 
     /** Returns whether this fits into {@code room}. */
-    public boolean fitsIn(Resources room) {
-        return cpuMillis <= room.cpuMillis && memoryMb <= room.memoryMb && accelerators <= room.accelerators;
+    public boolean fitsIn(Resources available) {
+        return cpuMillis <= available.cpuMillis
+                && memoryMb <= available.memoryMb
+                && accelerators <= available.accelerators;
     }
 
     /** Returns how many times this fits into {@code room}, at most {@code most}. */
-    public int countFitting(Resources room, int most) {
-        long times = most;
+    public int countFitting(Resources available, int max) {
+        long times = max;
         if (cpuMillis > 0) {
-            times = Math.min(times, room.cpuMillis / cpuMillis);
+            times = Math.min(times, available.cpuMillis / cpuMillis);
         }
         if (memoryMb > 0) {
-            times = Math.min(times, room.memoryMb / memoryMb);
+            times = Math.min(times, available.memoryMb / memoryMb);
         }
         if (accelerators > 0) {
-            times = Math.min(times, room.accelerators / accelerators);
+            times = Math.min(times, available.accelerators / accelerators);
         }
-        return fitsIn(room) ? (int) Math.max(0, times) : 0;
+        return fitsIn(available) ? (int) Math.max(0, times) : 0;
     }
 
     /** Returns this as a number of cores, an accelerator counting as {@value #CORES_PER_ACCELERATOR}. */
--- a/acacia-pool/src/main/java/org/acaciaport/pool/StepRun.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/StepExecution.java
@@ -8,44 +8,44 @@
  *
  * <p>Mutable, for the pool's thread only.
  */
-final class StepRun {
-    final JobRun job;
+final class StepExecution {
+    final JobExecution job;
     final Step spec;
     final int occurrence;
     final int number;
-    final List<TaskRun> tasks = new ArrayList<>();
-    int doneTasks;
+    final List<TaskExecution> tasks = new ArrayList<>();
+    int doneTaskCount;
 
     /** Newest run of a gang that failed; several members may report the same failure. */
-    int failedRun;
+    int lastFailedRun;
 
     /** Whether a run of it was moved off a slow target already; estimates may be wrong, so that is done once. */
-    boolean movedOffSlow;
+    boolean stragglerHandled;
 
     /** How often runs of it were stopped in favour of other work; each time makes the next dearer. */
-    int preemptions;
+    int preemptionCount;
 
     /** When running work is searched again for room, on the steady clock, in nanoseconds; a search costs much. */
-    long searchAgainNanos;
+    long nextSearchNanos;
 
     /** Until when an urgent unit keeps room that other work still takes, on the steady clock, in nanoseconds. */
-    long promiseEndsNanos;
+    long reservationExpiresNanos;
 
     /** When its tasks' turn came, on the steady clock, in nanoseconds; 0 before. */
     long readyNanos;
 
-    StepRun(JobRun job, int occurrence, int number) {
+    StepExecution(JobExecution job, int occurrence, int number) {
         this.job = job;
-        this.spec = job.job.steps().get(number);
+        this.spec = job.spec.steps().get(number);
         this.occurrence = occurrence;
         this.number = number;
         for (int i = 0; i < spec.count(); i++) {
-            tasks.add(new TaskRun(new TaskId(job.job.id(), occurrence, number, i), this));
+            tasks.add(new TaskExecution(new TaskId(job.spec.id(), occurrence, number, i), this));
         }
     }
 
     /** Returns whether {@code task} runs away from its data, or from the rest of a gang that should be on one rack. */
-    boolean farApart(TaskRun task) {
+    boolean lacksLocality(TaskExecution task) {
         String near = spec.constraints().nearRack();
         if (!near.isEmpty() && !near.equals(task.target.rack())) {
             return true;
@@ -53,7 +53,7 @@
         if (!spec.constraints().tight()) {
             return false;
         }
-        for (TaskRun other : tasks) {
+        for (TaskExecution other : tasks) {
             if (other.target != null && !other.target.rack().equals(task.target.rack())) {
                 return true;
             }
@@ -66,7 +66,7 @@
         return job.objective.slackMillis(occurrence, now.wallClockMillis());
     }
 
-    boolean done() {
-        return doneTasks == tasks.size();
+    boolean isDone() {
+        return doneTaskCount == tasks.size();
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetRun.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetState.java
@@ -9,7 +9,7 @@
  * <p>Mutable, for the pool's thread only. {@code occupants} holds the tasks in phases ASSIGNED, STARTING, RUNNING and
  * STOPPING whose {@code target} is this one.
  */
-final class TargetRun {
+final class TargetState {
     final String id;
 
     /** The newest registration; null before the first. */
@@ -22,24 +22,24 @@
     long incarnation;
 
     /** Room taken by runs that are there without being any task's newest run. */
-    Resources strays = Resources.NONE;
+    Resources strayDemand = Resources.NONE;
 
     /** Until when no new work goes there, on the steady clock, in nanoseconds. */
-    long avoidUntilNanos;
+    long excludedUntilNanos;
 
     /** Failures in a row, each of another job. */
-    int strikes;
+    int failureScore;
 
     /** The job that failed there last. */
-    String lastFailed = "";
+    String lastFailedJob = "";
 
-    final Map<TaskId, TaskRun> occupants = new LinkedHashMap<>();
+    final Map<TaskId, TaskExecution> tasks = new LinkedHashMap<>();
 
-    private Resources present = Resources.NONE;
-    private Resources leaving = Resources.NONE;
-    private Resources promised = Resources.NONE;
+    private Resources used = Resources.NONE;
+    private Resources stopping = Resources.NONE;
+    private Resources reserved = Resources.NONE;
 
-    TargetRun(String id) {
+    TargetState(String id) {
         this.id = id;
     }
 
@@ -49,12 +49,12 @@
 
     /** Returns the room that is free now. */
     Resources freeNow() {
-        return capacity().minus(present).minus(strays);
+        return capacity().minus(used).minus(strayDemand);
     }
 
     /** Returns the room that will be free once the stops have worked and the promised runs are there. */
-    Resources freeSoon() {
-        return freeNow().plus(leaving).minus(promised);
+    Resources projectedFree() {
+        return freeNow().plus(stopping).minus(reserved);
     }
 
     Resources capacity() {
@@ -62,33 +62,33 @@
     }
 
     /** Puts {@code task} here in {@code phase}, or moves it to another phase. */
-    void put(TaskRun task, Phase phase) {
+    void put(TaskExecution task, Phase phase) {
         if (task.target == this) {
-            count(task, -1);
+            adjustUsage(task, -1);
         }
         task.target = this;
         task.phase = phase;
-        occupants.put(task.id, task);
-        count(task, 1);
+        tasks.put(task.id, task);
+        adjustUsage(task, 1);
     }
 
     /** Takes {@code task} off and leaves it in {@code phase}. */
-    void remove(TaskRun task, Phase phase) {
-        count(task, -1);
-        occupants.remove(task.id);
+    void remove(TaskExecution task, Phase phase) {
+        adjustUsage(task, -1);
+        tasks.remove(task.id);
         task.target = null;
         task.phase = phase;
     }
 
-    private void count(TaskRun task, int sign) {
+    private void adjustUsage(TaskExecution task, int sign) {
         Resources demand = task.demand();
-        if (task.phase == Phase.ASSIGNED) {
-            promised = add(promised, demand, sign);
+        if (task.phase == Phase.RESERVED) {
+            reserved = add(reserved, demand, sign);
             return;
         }
-        present = add(present, demand, sign);
+        used = add(used, demand, sign);
         if (task.phase == Phase.STOPPING) {
-            leaving = add(leaving, demand, sign);
+            stopping = add(stopping, demand, sign);
         }
     }
 
--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TaskLifecycle.java
@@ -0,0 +1,233 @@
+package org.acaciaport.pool;
+
+import java.util.List;
+import org.jboss.logging.Logger;
+
+/**
+ * What the end of a run means for its task, its gang and its job.
+ *
+ * <p>For the pool's thread only.
+ */
+final class TaskLifecycle {
+    private static final Logger LOG = Logger.getLogger(TaskLifecycle.class);
+
+    /** Time without progress after which a run counts as stuck, in milliseconds. */
+    private static final long STALL_TIMEOUT_MILLIS = 2_500;
+
+    /** Part of a task's estimated duration that is added to {@link #STUCK_MILLIS}. */
+    private static final double STALL_TIMEOUT_ESTIMATE_FRACTION = 0.1;
+
+    private static final int COMPLETE_PERCENT = 100;
+
+    /** Time before a target leaves at which its unfinished work is stopped, in seconds; enough for the stop. */
+    private static final double EVICTION_LEAD_SECONDS = 0.8;
+
+    private final Outbox outbox;
+    private final TargetHealth targetHealth;
+
+    TaskLifecycle(Outbox outbox, TargetHealth targetHealth) {
+        this.outbox = outbox;
+        this.targetHealth = targetHealth;
+    }
+
+    /** Takes note of an end that {@code target} lists. Ends of older runs, or of a null task, change nothing. */
+    void handleEnd(TaskExecution task, TargetState target, TargetReport.Ended end, ClockReading now) {
+        boolean current =
+                task != null && task.lastRun == end.run() && task.phase.mayOccupyTarget() && task.target == target;
+        boolean detached = task != null && task.lastRun == end.run() && !task.phase.mayOccupyTarget();
+        LOG.infof(
+                "end: request=%s task=%s run=%s target=%s how=%s number=%s current=%s",
+                end.task().job(), end.task(), end.run(), target.id, end.reason(), end.number(), current);
+        if (!current && !(detached && end.reason() == TargetReport.EndReason.DONE && task.phase != Phase.DONE)) {
+            return;
+        }
+        if (!end.checkpoint().isEmpty()) {
+            saveCheckpoint(task, end.checkpoint());
+        }
+        outbox.markChanged(task.step.job);
+        switch (end.reason()) {
+            case DONE -> {
+                targetHealth.recordSuccess(target);
+                handleDone(task, now);
+            }
+            case FAILED -> {
+                targetHealth.recordFailure(task.id.job(), target, now);
+                handleFailed(task, now);
+            }
+            case STOPPED, LAPSED, BROKEN, ALONE -> requeue(task, now);
+        }
+    }
+
+    /** Keeps a checkpoint; one member's is good for its whole gang. */
+    void saveCheckpoint(TaskExecution task, String checkpoint) {
+        if (!task.step.spec.mode().gang()) {
+            task.checkpoint = checkpoint;
+            return;
+        }
+        for (TaskExecution member : task.step.tasks) {
+            member.checkpoint = checkpoint;
+        }
+    }
+
+    private void handleDone(TaskExecution task, ClockReading now) {
+        StepExecution step = task.step;
+        if (step.job.state.isTerminal()) {
+            detach(task, Phase.WAITING);
+            return;
+        }
+        if (step.spec.mode().lasting()) {
+            requeue(task, now);
+            return;
+        }
+        if (!step.spec.mode().gang()) {
+            markDone(task);
+        } else {
+            step.tasks.forEach(this::markDone);
+        }
+        JobExecution job = step.job;
+        if (job.occurrence(step.occurrence).stream().allMatch(StepExecution::isDone)) {
+            job.closeOccurrence(step.occurrence, now.wallClockMillis());
+            if (job.state == JobState.DONE) {
+                targetHealth.removeJob(job.spec.id());
+                LOG.infof(
+                        "done: request=%s age_ms=%s", job.spec.id(), now.wallClockMillis() - job.spec.acceptedMillis());
+            }
+        }
+    }
+
+    private void markDone(TaskExecution task) {
+        if (task.phase == Phase.DONE) {
+            return;
+        }
+        detach(task, Phase.DONE);
+        task.step.doneTaskCount++;
+    }
+
+    private void handleFailed(TaskExecution task, ClockReading now) {
+        StepExecution step = task.step;
+        TaskExecution counter = step.spec.mode().gang() ? step.tasks.get(0) : task;
+        if (step.lastFailedRun != task.lastRun || !step.spec.mode().gang()) {
+            counter.failures++;
+            step.lastFailedRun = task.lastRun;
+        }
+        JobExecution job = step.job;
+        boolean attemptsExhausted = !step.spec.mode().lasting()
+                && counter.failures >= job.spec.terms().attempts();
+        requeue(task, now);
+        if (attemptsExhausted && !job.state.isTerminal()) {
+            job.end(JobState.FAILED, now.wallClockMillis());
+            stopAll(job, now);
+            LOG.infof("fail: request=%s task=%s failures=%s", job.spec.id(), task.id, counter.failures);
+        }
+    }
+
+    /** Takes the run off its target; the task waits again, and the rest of its gang stops. */
+    void requeue(TaskExecution task, ClockReading now) {
+        boolean wasSent = task.phase.mayOccupyTarget();
+        detach(task, Phase.WAITING);
+        outbox.markChanged(task.step.job);
+        if (!task.step.spec.mode().gang()) {
+            return;
+        }
+        for (TaskExecution member : task.step.tasks) {
+            if (wasSent || member.phase == Phase.RESERVED) {
+                releaseOrStop(member, now);
+            }
+        }
+    }
+
+    /** Stops every run of {@code job} and gives back what it was promised. */
+    void stopAll(JobExecution job, ClockReading now) {
+        targetHealth.removeJob(job.spec.id());
+        job.tasks().forEach(task -> releaseOrStop(task, now));
+    }
+
+    /** Gives back what the task was promised, or stops its run unless that was done. */
+    private void releaseOrStop(TaskExecution task, ClockReading now) {
+        if (task.phase == Phase.RESERVED) {
+            cancelReservation(task);
+        } else if (task.phase == Phase.STARTING || task.phase == Phase.RUNNING) {
+            stop(task, now);
+        }
+    }
+
+    /** Gives back the place that the task was promised; it waits again. */
+    void cancelReservation(TaskExecution task) {
+        detach(task, Phase.WAITING);
+    }
+
+    /** Tells the target to stop the task's run. */
+    void stop(TaskExecution task, ClockReading now) {
+        task.stopSentNanos = now.monotonicNanos();
+        task.target.put(task, Phase.STOPPING);
+        outbox.addStop(task.target.id, task.incarnation, task.id, task.lastRun);
+    }
+
+    /** Stops a run that makes no progress, so that it goes on elsewhere. */
+    void checkForStall(TaskExecution task, ClockReading now) {
+        Step step = task.step.spec;
+        if (step.mode().lasting() || step.mode().filling() || task.percent >= COMPLETE_PERCENT) {
+            return;
+        }
+        if (!task.step.stragglerHandled && task.isStraggler(now)) {
+            task.step.stragglerHandled = true;
+            handleStraggler(task, now);
+            return;
+        }
+        long timeoutMillis = STALL_TIMEOUT_MILLIS + (long) (STALL_TIMEOUT_ESTIMATE_FRACTION * step.estimateMillis());
+        if (now.millisSince(task.lastProgressNanos) < timeoutMillis) {
+            return;
+        }
+        LOG.infof(
+                "stop: request=%s task=%s run=%s target=%s why=stuck percent=%s",
+                task.id.job(), task.id, task.lastRun, task.target.id, task.percent);
+        targetHealth.recordStall(task.target, now);
+        stop(task, now);
+    }
+
+    /** A slow target gets no new work for a while; urgent work, and work that saves its progress, goes on elsewhere. */
+    private void handleStraggler(TaskExecution task, ClockReading now) {
+        boolean mayMigrate =
+                task.job().terms().priority() == 0 || task.step.spec.mode().checkpoint();
+        boolean migrates = mayMigrate && task.wouldEndSoonerElsewhere();
+        LOG.infof(
+                "%s: request=%s task=%s run=%s target=%s why=slow percent=%s",
+                migrates ? "stop" : "keep", task.id.job(), task.id, task.lastRun, task.target.id, task.percent);
+        targetHealth.recordStall(task.target, now);
+        if (migrates) {
+            stop(task, now);
+        }
+    }
+
+    /**
+     * Stops work on a target that is about to leave, if it would not be done in time and saves its progress: it goes on
+     * elsewhere from there instead of being lost.
+     */
+    void evictBeforeDeparture(TargetState target, ClockReading now) {
+        if (target.info == null || !target.info.draining() || target.info.departureNanos() == 0) {
+            return;
+        }
+        double secondsToDeparture = -now.secondsSince(target.info.departureNanos());
+        if (secondsToDeparture > EVICTION_LEAD_SECONDS) {
+            return;
+        }
+        for (TaskExecution task : List.copyOf(target.tasks.values())) {
+            boolean checkpoints = task.step.spec.mode().checkpoint();
+            if (task.phase != Phase.RUNNING || !checkpoints || task.remainingSeconds(now) < secondsToDeparture) {
+                continue;
+            }
+            LOG.infof(
+                    "stop: request=%s task=%s run=%s target=%s why=leaving",
+                    task.id.job(), task.id, task.lastRun, target.id);
+            stop(task, now);
+        }
+    }
+
+    private void detach(TaskExecution task, Phase phase) {
+        if (task.target != null) {
+            task.target.remove(task, phase);
+        }
+        task.phase = phase;
+        task.confirmedNanos = 0;
+    }
+}
--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/UnitStarter.java
@@ -0,0 +1,99 @@
+package org.acaciaport.pool;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Starts work whose promised room is free, gangs whole.
+ *
+ * <p>Made anew for each pass; for the pool's thread only.
+ */
+final class UnitStarter {
+    private final PlacementPass.Context context;
+    private final Placement placement;
+    private final ClockReading now;
+
+    UnitStarter(PlacementPass.Context context, Placement placement, ClockReading now) {
+        this.context = context;
+        this.placement = placement;
+        this.now = now;
+    }
+
+    /** Starts every unit that has all the room it was promised. */
+    void startReserved(Collection<JobExecution> jobs) {
+        for (JobExecution job : jobs) {
+            if (job.state.isTerminal()) {
+                continue;
+            }
+            for (List<StepExecution> steps : job.openOccurrences()) {
+                for (StepExecution step : steps) {
+                    startReservedUnits(step);
+                }
+            }
+        }
+    }
+
+    private void startReservedUnits(StepExecution step) {
+        List<TaskExecution> reserved =
+                step.tasks.stream().filter(task -> task.phase == Phase.RESERVED).toList();
+        if (reserved.isEmpty()) {
+            return;
+        }
+        if (!step.spec.mode().gang()) {
+            for (TaskExecution task : reserved) {
+                start(new PlacementUnit(step, List.of(task)));
+            }
+        } else if (reserved.size() == step.tasks.size()) {
+            start(new PlacementUnit(step, reserved));
+        } else {
+            reserved.forEach(context.taskLifecycle()::cancelReservation);
+        }
+    }
+
+    private void start(PlacementUnit unit) {
+        Map<TargetState, Resources> free = new HashMap<>();
+        boolean enough = true;
+        for (TaskExecution task : unit.tasks()) {
+            if (!placement.isEligible(unit, task.target, now.monotonicNanos())) {
+                unit.tasks().forEach(context.taskLifecycle()::cancelReservation);
+                return;
+            }
+            Resources remaining =
+                    free.getOrDefault(task.target, task.target.freeNow()).minus(task.demand());
+            free.put(task.target, remaining);
+            enough &= Resources.NONE.fitsIn(remaining);
+        }
+        if (!enough) {
+            cancelExpiredReservation(unit);
+            return;
+        }
+        int run = 0;
+        for (TaskExecution task : unit.tasks()) {
+            run = Math.max(run, task.lastRun + 1);
+        }
+        for (TaskExecution task : unit.tasks()) {
+            task.lastRun = run;
+            task.incarnation = task.target.incarnation;
+            task.target.put(task, Phase.STARTING);
+            context.outbox().addStart(task);
+        }
+        if (unit.step().job.state == JobState.QUEUED) {
+            unit.step().job.state = JobState.RUNNING;
+        }
+    }
+
+    /** A unit of the highest priority whose room does not come free chooses anew. */
+    private void cancelExpiredReservation(PlacementUnit unit) {
+        if (unit.priority() != 0 || now.monotonicNanos() - unit.step().reservationExpiresNanos < 0) {
+            return;
+        }
+        for (TaskExecution task : unit.tasks()) {
+            if (task.target.tasks.values().stream().anyMatch(other -> other.phase == Phase.STOPPING)) {
+                return;
+            }
+        }
+        unit.tasks().forEach(context.taskLifecycle()::cancelReservation);
+    }
+}
--- a/acacia-pool/src/test/java/org/acaciaport/pool/SickTargetTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/DegradedTargetTest.java
@@ -5,31 +5,31 @@
 import org.junit.jupiter.api.Test;
 
 /** Work on targets that are slow, stand still or are about to leave. */
-final class SickTargetTest {
+final class DegradedTargetTest {
     private final PoolFixture fixture = new PoolFixture();
 
     @Test
     void nothingStartsOnATargetThatDrains() {
-        fixture.target("t1", "r1");
-        fixture.drain("t1", "r1", 0);
-        fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(1, 1)));
+        fixture.addTarget("t1", "r1");
+        fixture.drainTarget("t1", "r1", 0);
+        fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 1)));
         assertThat(fixture.starts).isEmpty();
     }
 
     /** Pattern: targets leave with short notice. Work that saves its progress used to run until it was lost. */
     @Test
     void workThatSavesIsMovedOffATargetBeforeItLeaves() {
-        fixture.target("t1", "r1");
+        fixture.addTarget("t1", "r1");
         Step.Mode saving = new Step.Mode(false, true, false, false, false, 0);
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.step(1, 8, saving, false)));
-        fixture.submit(fixture.job("b", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.target("t2", "r1");
-        fixture.settle();
-        fixture.drain("t1", "r1", fixture.now().nanosAfter(2_000));
-        fixture.drain("t2", "r1", fixture.now().nanosAfter(2_000));
-        fixture.settle();
+        fixture.submit(fixture.job("b", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.addTarget("t2", "r1");
+        fixture.schedulePass();
+        fixture.drainTarget("t1", "r1", fixture.now().nanosAfter(2_000));
+        fixture.drainTarget("t2", "r1", fixture.now().nanosAfter(2_000));
+        fixture.schedulePass();
         assertThat(fixture.stops).isEmpty();
-        fixture.pass(1_500);
+        fixture.advance(1_500);
         assertThat(fixture.stops).hasSize(1);
         assertThat(fixture.stops.get(0).task().job()).isEqualTo("a");
     }
@@ -37,27 +37,27 @@
     /** Pattern: some targets turn several times slower. Urgent work used to stay there until it was late. */
     @Test
     void urgentWorkLeavesATargetThatIsMuchSlowerThanEstimatedOnce() {
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("a", "x", 0, PoolFixture.plain(1, 8)));
-        fixture.target("t2", "r1");
-        crawl(2);
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("a", "x", 0, PoolFixture.independentTasks(1, 8)));
+        fixture.addTarget("t2", "r1");
+        reportSlowProgress(2);
         assertThat(fixture.stops).hasSize(1);
-        fixture.obeyStops();
+        fixture.completeStops();
         assertThat(fixture.starts.get(1).target()).isEqualTo("t2");
-        crawl(4);
+        reportSlowProgress(4);
         assertThat(fixture.stops).isEmpty();
     }
 
     /** Pattern: a calm day with an estimate far too low. A run past its middle is moved off a sound target. */
     @Test
     void aRunThatWouldEndSoonerHereThanAnewIsLeft() {
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("a", "x", 0, PoolFixture.plain(1, 8)));
-        fixture.target("t2", "r1");
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("a", "x", 0, PoolFixture.independentTasks(1, 8)));
+        fixture.addTarget("t2", "r1");
         for (int percent = 50; percent <= 80; percent += 10) {
-            fixture.pass(2_000);
-            fixture.progress(fixture.starts.get(0), percent);
-            fixture.settle();
+            fixture.advance(2_000);
+            fixture.reportProgress(fixture.starts.get(0), percent);
+            fixture.schedulePass();
         }
         assertThat(fixture.stops).isEmpty();
     }
@@ -65,38 +65,38 @@
     /** Pattern: slow targets. A run that began from nothing has a rate after one report; it used to take two. */
     @Test
     void aSlowRunIsKnownByItsFirstReport() {
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("a", "x", 0, PoolFixture.plain(1, 8)));
-        fixture.target("t2", "r1");
-        fixture.pass(1_000);
-        fixture.progress(fixture.starts.get(0), 3);
-        fixture.settle();
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("a", "x", 0, PoolFixture.independentTasks(1, 8)));
+        fixture.addTarget("t2", "r1");
+        fixture.advance(1_000);
+        fixture.reportProgress(fixture.starts.get(0), 3);
+        fixture.schedulePass();
         assertThat(fixture.stops).hasSize(1);
     }
 
     /** The newest run gains two percent each half second, so it takes five times its estimate. */
-    private void crawl(int reports) {
+    private void reportSlowProgress(int reports) {
         TargetCommand.Start start = fixture.starts.get(fixture.starts.size() - 1);
         for (int i = 1; i <= reports; i++) {
-            fixture.pass(500);
-            fixture.progress(start, 2 * i);
+            fixture.advance(500);
+            fixture.reportProgress(start, 2 * i);
         }
-        fixture.settle();
+        fixture.schedulePass();
     }
 
     @Test
     void aRunWithoutProgressGoesOnElsewhere() {
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.target("t2", "r1");
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.addTarget("t2", "r1");
         TargetCommand.Start start = fixture.starts.get(0);
         for (int i = 0; i < 8; i++) {
-            fixture.pass(500);
-            fixture.progress(start, 10);
+            fixture.advance(500);
+            fixture.reportProgress(start, 10);
         }
-        fixture.settle();
+        fixture.schedulePass();
         assertThat(fixture.stops).isNotEmpty();
-        fixture.obeyStops();
+        fixture.completeStops();
         assertThat(fixture.starts.get(1).target()).isEqualTo("t2");
     }
 }
--- a/acacia-pool/src/test/java/org/acaciaport/pool/Loads.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/Deployments.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** Deployments like those that the product was made for, with the work that comes there. */
-final class Loads {
-    private static final int[] ONE = {1};
-    private static final int[] MIXED = {1, 2, 4, 8, 8};
+final class Deployments {
+    private static final int[] SINGLE_ACCELERATOR = {1};
+    private static final int[] MIXED_ACCELERATORS = {1, 2, 4, 8, 8};
 
     /** Rendering of plaques: short urgent previews, long proofs as gangs, wide batches of small tasks. */
-    static final PoolLoad.Deployment RENDERING = new PoolLoad.Deployment(
+    static final PoolSimulation.Deployment RENDERING = new PoolSimulation.Deployment(
             33,
             8,
             new Resources(32_000, 65_536, 8),
@@ -19,7 +19,7 @@
             0.62);
 
     /** Matching of bookings: urgent matches, rosters as gangs, wide preparation of captions. */
-    static final PoolLoad.Deployment BOOKING = new PoolLoad.Deployment(
+    static final PoolSimulation.Deployment BOOKING = new PoolSimulation.Deployment(
             32,
             6,
             new Resources(128_000, 262_144, 8),
@@ -29,34 +29,83 @@
                     batches("caption", 0.62, 12, 6.1, 11, 29_000)),
             0.62);
 
-    private Loads() {}
+    private Deployments() {}
 
     private static WorkKind urgent(String name, double perSecond, double cores, int memoryMb) {
         Job.Terms terms = new Job.Terms(0, 2, 1.5, 250);
         return new WorkKind(
-                name, perSecond, 4, 0.8, terms, 1, 3, 18, 2.5, 0.5, 8, (int) cores, memoryMb, MIXED, true, 0.8, 0, 0.4);
+                name,
+                perSecond,
+                4,
+                0.8,
+                terms,
+                1,
+                3,
+                18,
+                2.5,
+                0.5,
+                8,
+                (int) cores,
+                memoryMb,
+                MIXED_ACCELERATORS,
+                true,
+                0.8,
+                0,
+                0.4);
     }
 
     private static WorkKind gangs(
             String name,
             double perSecond,
-            double worth,
-            double lateWorth,
+            double value,
+            double lateValue,
             double tasks,
             double seconds,
             int cores,
             int memoryMb) {
         Job.Terms terms = new Job.Terms(1, 2, 3, 1_000);
         return new WorkKind(
-                name, perSecond, worth, lateWorth, terms, 1, tasks, 24, seconds, 0.3, 11, cores, memoryMb, MIXED, true,
-                0.6, 0.45, 0.5);
+                name,
+                perSecond,
+                value,
+                lateValue,
+                terms,
+                1,
+                tasks,
+                24,
+                seconds,
+                0.3,
+                11,
+                cores,
+                memoryMb,
+                MIXED_ACCELERATORS,
+                true,
+                0.6,
+                0.45,
+                0.5);
     }
 
     private static WorkKind batches(
             String name, double perSecond, double tasks, double seconds, int cores, int memoryMb) {
         Job.Terms terms = new Job.Terms(2, 2, 3, 3_000);
         return new WorkKind(
-                name, perSecond, 1, 0.3, terms, 1.3, tasks, 72, seconds, 0.3, 11, cores, memoryMb, ONE, false, 0, 0.45,
+                name,
+                perSecond,
+                1,
+                0.3,
+                terms,
+                1.3,
+                tasks,
+                72,
+                seconds,
+                0.3,
+                11,
+                cores,
+                memoryMb,
+                SINGLE_ACCELERATOR,
+                false,
+                0,
+                0.45,
                 0.5);
     }
 }
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
@@ -19,8 +19,8 @@
     final List<TargetCommand.Start> starts = new ArrayList<>();
     final List<TargetCommand.Stop> stops = new ArrayList<>();
     final Map<String, JobProgress> durable = new HashMap<>();
-    private final Map<String, Long> ends = new HashMap<>();
-    private final Map<String, Long> lives = new HashMap<>();
+    private final Map<String, Long> endCounts = new HashMap<>();
+    private final Map<String, Long> incarnations = new HashMap<>();
     private long millis = 1_000_000;
 
     ClockReading now() {
@@ -28,31 +28,31 @@
     }
 
     /** Adds a target and lets it report once. */
-    void target(String id, String rack) {
-        lives.put(id, 1L);
+    void addTarget(String id, String rack) {
+        incarnations.put(id, 1L);
         pool.register(new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, false, 0, 1));
         report(id);
     }
 
-    void drain(String id, String rack, long leavesNanos) {
+    void drainTarget(String id, String rack, long leavesNanos) {
         pool.register(
                 new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, true, leavesNanos, 1));
     }
 
-    void guarantee(String account, long accelerators) {
+    void setGuarantee(String account, long accelerators) {
         pool.configure(new PoolSettings(Map.of(account, accelerators), Set.of(), Set.of(SERVICE)));
     }
 
     static Step step(int count, long accelerators, Step.Mode mode, boolean tight) {
-        Step.Constraints limits = new Step.Constraints("", "", 0, tight);
-        return new Step(count, new Resources(1_000, 1_000, accelerators), 5_000, List.of(), limits, mode);
+        Step.Constraints constraints = new Step.Constraints("", "", 0, tight);
+        return new Step(count, new Resources(1_000, 1_000, accelerators), 5_000, List.of(), constraints, mode);
     }
 
     static Step gang(int count, long accelerators, boolean tight) {
         return step(count, accelerators, new Step.Mode(true, false, false, false, false, 0), tight);
     }
 
-    static Step plain(int count, long accelerators) {
+    static Step independentTasks(int count, long accelerators) {
         return step(count, accelerators, Step.Mode.PLAIN, false);
     }
 
@@ -63,17 +63,17 @@
 
     void submit(Job job) {
         pool.submit(job);
-        settle();
+        schedulePass();
     }
 
     /** Lets time pass and the pool decide. */
-    void pass(long passed) {
-        millis += passed;
-        settle();
+    void advance(long elapsedMillis) {
+        millis += elapsedMillis;
+        schedulePass();
     }
 
     /** Decides, makes durable, and lets the targets confirm starts. */
-    void settle() {
+    void schedulePass() {
         pool.schedule(now());
         for (TargetCommand.Stop stop : pool.takeStops()) {
             stops.add(stop);
@@ -88,44 +88,46 @@
     }
 
     /** The target lists the end of every run that was told to stop. */
-    void obeyStops() {
-        List<TargetCommand.Stop> told = List.copyOf(stops);
+    void completeStops() {
+        List<TargetCommand.Stop> pending = List.copyOf(stops);
         stops.clear();
-        told.forEach(stop -> end(stop.task(), TargetReport.EndReason.STOPPED));
-        settle();
+        pending.forEach(stop -> endRun(stop.task(), TargetReport.EndReason.STOPPED));
+        schedulePass();
     }
 
     /** A running task ends. */
-    void end(TaskId task, TargetReport.EndReason how) {
+    void endRun(TaskId task, TargetReport.EndReason reason) {
         TargetCommand.Start start = running.remove(task);
         if (start == null) {
             return;
         }
-        long number = ends.merge(start.target(), 1L, Long::sum);
-        report(start.target(), new TargetReport.Ended(number, task, start.run(), how, ""));
-        settle();
+        long number = endCounts.merge(start.target(), 1L, Long::sum);
+        report(start.target(), new TargetReport.Ended(number, task, start.run(), reason, ""));
+        schedulePass();
     }
 
     void report(String target, TargetReport.Ended... ended) {
         millis++;
-        long asked = now().monotonicNanos();
+        long requestNanos = now().monotonicNanos();
         millis++;
-        pool.handleReport(new TargetReport(target, lives.get(target), asked, runningOn(target), List.of(ended)), now());
+        pool.handleReport(
+                new TargetReport(target, incarnations.get(target), requestNanos, runningOn(target), List.of(ended)),
+                now());
     }
 
     /** A target reports one run, {@code percent} done. */
-    void progress(TargetCommand.Start start, int percent) {
+    void reportProgress(TargetCommand.Start start, int percent) {
         TargetReport.Running run = new TargetReport.Running(start.task(), start.run(), "", percent);
         pool.handleReport(new TargetReport(start.target(), 1, now().monotonicNanos(), List.of(run), List.of()), now());
     }
 
     /** The target starts again under its id, with nothing running. */
-    void restart(String target, String rack) {
-        long life = lives.merge(target, 1L, Long::sum);
+    void restartTarget(String target, String rack) {
+        long incarnation = incarnations.merge(target, 1L, Long::sum);
         running.values().removeIf(start -> start.target().equals(target));
-        ends.remove(target);
-        pool.register(
-                new TargetInfo(target, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, false, 0, life));
+        endCounts.remove(target);
+        pool.register(new TargetInfo(
+                target, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, false, 0, incarnation));
     }
 
     private List<TargetReport.Running> runningOn(String target) {
@@ -135,7 +137,7 @@
                 .toList();
     }
 
-    static TaskId task(String job, int index) {
+    static TaskId taskId(String job, int index) {
         return new TaskId(job, 0, 0, index);
     }
 }
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolLoad.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolSimulation.java
@@ -17,13 +17,13 @@
  * <p>Targets are sound and orders arrive; the figures show what the decisions alone do. The same seed gives the same
  * figures.
  */
-final class PoolLoad {
+final class PoolSimulation {
     private static final int TICK_MILLIS = 20;
-    private static final int START_MILLIS = 30;
-    private static final int STOP_MILLIS = 100;
-    private static final int REPORT_MILLIS = 500;
-    private static final int SETTLE_MILLIS = 60_000;
-    private static final double FAR_FACTOR = 3;
+    private static final int START_LATENCY_MILLIS = 30;
+    private static final int STOP_LATENCY_MILLIS = 100;
+    private static final int REPORT_INTERVAL_MILLIS = 500;
+    private static final int DRAIN_MILLIS = 60_000;
+    private static final double CROSS_RACK_SLOWDOWN = 3;
     private static final int ACCOUNTS = 4;
 
     private final Deployment deployment;
@@ -31,13 +31,13 @@
     private final Pool pool = new Pool();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::millis).thenComparingLong(Event::number));
-    private final Map<String, Asked> jobs = new LinkedHashMap<>();
+    private final Map<String, Submission> submissions = new LinkedHashMap<>();
     private final Map<TaskId, Running> running = new HashMap<>();
-    private final Map<String, Long> ends = new HashMap<>();
+    private final Map<String, Long> endCounts = new HashMap<>();
     private final Map<String, Long> doneMillis = new HashMap<>();
-    private double wasted;
+    private double wastedCoreSeconds;
     private long millis;
-    private long numbers;
+    private long nextEventNumber;
 
     /**
      * What the load meets.
@@ -46,68 +46,68 @@
      * @param rackSize targets in a rack
      * @param target room of a target
      * @param kinds kinds of request
-     * @param guaranteed part of all accelerators that is guaranteed to accounts, in equal shares
+     * @param guaranteedFraction part of all accelerators that is guaranteed to accounts, in equal shares
      */
-    record Deployment(int targets, int rackSize, Resources target, List<WorkKind> kinds, double guaranteed) {}
+    record Deployment(int targets, int rackSize, Resources target, List<WorkKind> kinds, double guaranteedFraction) {}
 
     /** A time in which one kind comes {@code factor} times as often. */
     record Burst(int kind, long fromMillis, long toMillis, double factor) {}
 
     /** What became of a kind: worth earned over worth asked for, and requests in time, late and of no use. */
-    record Fared(double share, int inTime, int late, int useless) {}
+    record KindResult(double valueFraction, int inTime, int late, int missed) {}
 
     /** Figures of a play: worth earned over worth asked for in all, and work stopped and not saved, in core-seconds. */
-    record Figures(Map<String, Fared> kinds, double share, double wasted) {}
+    record Results(Map<String, KindResult> kinds, double valueFraction, double wastedCoreSeconds) {}
 
     private record Event(long millis, long number, Runnable action) {}
 
-    private record Asked(WorkKind kind, WorkKind.Drawn drawn) {}
+    private record Submission(WorkKind kind, WorkKind.Sample sample) {}
 
     /** A run on a target; a gang progresses from the moment when all its members are there. */
     private static final class Running {
         TargetCommand.Start start;
-        double from;
+        double startProgress;
         long sinceMillis = -1;
         double seconds;
 
         double progress(long now) {
-            return sinceMillis < 0 ? from : Math.min(1, from + (now - sinceMillis) / 1e3 / seconds);
+            return sinceMillis < 0 ? startProgress : Math.min(1, startProgress + (now - sinceMillis) / 1e3 / seconds);
         }
     }
 
-    private PoolLoad(Deployment deployment, RandomGenerator random) {
+    private PoolSimulation(Deployment deployment, RandomGenerator random) {
         this.deployment = deployment;
         this.random = random;
     }
 
-    static Figures play(Deployment deployment, long lengthMillis, List<Burst> bursts, RandomGenerator random) {
-        PoolLoad load = new PoolLoad(deployment, random);
-        load.prepare();
+    static Results simulate(Deployment deployment, long lengthMillis, List<Burst> bursts, RandomGenerator random) {
+        PoolSimulation simulation = new PoolSimulation(deployment, random);
+        simulation.registerTargets();
         for (int kind = 0; kind < deployment.kinds().size(); kind++) {
-            load.arrivals(kind, lengthMillis, bursts);
+            simulation.scheduleArrivals(kind, lengthMillis, bursts);
         }
-        load.tick(lengthMillis + SETTLE_MILLIS);
-        while (!load.events.isEmpty()) {
-            Event event = load.events.remove();
-            load.millis = event.millis;
+        simulation.schedulePass(lengthMillis + DRAIN_MILLIS);
+        while (!simulation.events.isEmpty()) {
+            Event event = simulation.events.remove();
+            simulation.millis = event.millis;
             event.action.run();
         }
-        return load.figures();
+        return simulation.results();
     }
 
-    private void at(long when, Runnable action) {
-        events.add(new Event(when, numbers++, action));
+    private void schedule(long when, Runnable action) {
+        events.add(new Event(when, nextEventNumber++, action));
     }
 
     private ClockReading now() {
         return new ClockReading((millis + 1) * 1_000_000, millis);
     }
 
-    private void prepare() {
+    private void registerTargets() {
         Map<String, Long> guarantees = new HashMap<>();
-        long all = deployment.targets * deployment.target.accelerators();
+        long totalAccelerators = deployment.targets * deployment.target.accelerators();
         for (int i = 0; i < ACCOUNTS; i++) {
-            guarantees.put("account" + i, (long) (all * deployment.guaranteed / ACCOUNTS));
+            guarantees.put("account" + i, (long) (totalAccelerators * deployment.guaranteedFraction / ACCOUNTS));
         }
         pool.configure(new PoolSettings(guarantees, Set.of(), Set.of(PoolFixture.SERVICE)));
         for (int i = 0; i < deployment.targets; i++) {
@@ -115,11 +115,11 @@
             String rack = "r" + i / deployment.rackSize;
             pool.register(new TargetInfo(
                     id, PoolFixture.SERVICE, "address", "zone", rack, Set.of(rack), deployment.target, false, 0, 1));
-            at(i * REPORT_MILLIS / deployment.targets, () -> reportOften(id));
+            schedule(i * REPORT_INTERVAL_MILLIS / deployment.targets, () -> reportPeriodically(id));
         }
     }
 
-    private void arrivals(int number, long lengthMillis, List<Burst> bursts) {
+    private void scheduleArrivals(int number, long lengthMillis, List<Burst> bursts) {
         WorkKind kind = deployment.kinds().get(number);
         long when = 0;
         while (true) {
@@ -135,62 +135,62 @@
             }
             String id = "%s-%05d".formatted(kind.name(), when);
             String account = "account" + Math.min(random.nextInt(ACCOUNTS), random.nextInt(ACCOUNTS));
-            WorkKind.Drawn drawn = kind.draw(id, account, when, random);
-            at(when, () -> {
-                jobs.put(id, new Asked(kind, drawn));
-                pool.submit(drawn.job());
+            WorkKind.Sample sample = kind.sample(id, account, when, random);
+            schedule(when, () -> {
+                submissions.put(id, new Submission(kind, sample));
+                pool.submit(sample.job());
             });
         }
     }
 
-    private void tick(long untilMillis) {
+    private void schedulePass(long untilMillis) {
         if (millis > untilMillis) {
             events.clear();
             return;
         }
-        at(millis + TICK_MILLIS, () -> {
+        schedule(millis + TICK_MILLIS, () -> {
             pool.schedule(now());
-            pool.takeStops().forEach(stop -> at(millis + STOP_MILLIS, () -> stopped(stop)));
+            pool.takeStops().forEach(stop -> schedule(millis + STOP_LATENCY_MILLIS, () -> handleStop(stop)));
             Batch batch = pool.takeBatch();
-            batch.records().forEach(this::note);
+            batch.records().forEach(this::recordCompletion);
             for (TargetCommand.Start start : batch.starts()) {
-                at(millis + START_MILLIS, () -> started(start));
+                schedule(millis + START_LATENCY_MILLIS, () -> handleStart(start));
             }
-            tick(untilMillis);
+            schedulePass(untilMillis);
         });
     }
 
-    private void note(JobProgress progress) {
+    private void recordCompletion(JobProgress progress) {
         if (progress.state() == JobState.DONE) {
             doneMillis.putIfAbsent(progress.id(), progress.endedMillis());
         }
     }
 
-    private void started(TargetCommand.Start start) {
-        Asked asked = jobs.get(start.task().job());
-        Step step = asked.drawn().job().steps().get(start.task().step());
+    private void handleStart(TargetCommand.Start start) {
+        Submission submission = submissions.get(start.task().job());
+        Step step = submission.sample().job().steps().get(start.task().step());
         Running run = new Running();
         run.start = start;
-        run.from = start.checkpoint().isEmpty() ? 0 : Double.parseDouble(start.checkpoint());
+        run.startProgress = start.checkpoint().isEmpty() ? 0 : Double.parseDouble(start.checkpoint());
         running.put(start.task(), run);
         pool.handleStarted(start, now());
-        List<Running> together = together(start, step);
-        if (together.isEmpty()) {
+        List<Running> active = activatedRuns(start, step);
+        if (active.isEmpty()) {
             return;
         }
         Set<String> racks = new HashSet<>();
-        together.forEach(each -> racks.add(rack(each.start.target())));
-        double far = step.constraints().tight() && racks.size() > 1 ? FAR_FACTOR : 1;
-        for (Running each : together) {
+        active.forEach(each -> racks.add(rackOf(each.start.target())));
+        double slowdown = step.constraints().tight() && racks.size() > 1 ? CROSS_RACK_SLOWDOWN : 1;
+        for (Running each : active) {
             each.sinceMillis = millis;
-            each.seconds = asked.drawn().seconds()[start.task().step()] * far;
-            long left = (long) Math.ceil((1 - each.from) * each.seconds * 1_000);
-            at(millis + left, () -> done(each));
+            each.seconds = submission.sample().taskSeconds()[start.task().step()] * slowdown;
+            long remaining = (long) Math.ceil((1 - each.startProgress) * each.seconds * 1_000);
+            schedule(millis + remaining, () -> handleDone(each));
         }
     }
 
     /** Returns the runs that begin to work now that {@code start} is there: its whole gang, itself, or none yet. */
-    private List<Running> together(TargetCommand.Start start, Step step) {
+    private List<Running> activatedRuns(TargetCommand.Start start, Step step) {
         if (!step.mode().gang()) {
             return List.of(running.get(start.task()));
         }
@@ -206,45 +206,47 @@
         return gang;
     }
 
-    private String rack(String target) {
+    private String rackOf(String target) {
         return "r" + Integer.parseInt(target.substring(1)) / deployment.rackSize;
     }
 
-    private void done(Running run) {
+    private void handleDone(Running run) {
         if (running.get(run.start.task()) == run) {
-            end(run, TargetReport.EndReason.DONE, "");
+            endRun(run, TargetReport.EndReason.DONE, "");
         }
     }
 
-    private void stopped(TargetCommand.Stop stop) {
+    private void handleStop(TargetCommand.Stop stop) {
         Running run = running.get(stop.task());
         if (run == null || run.start.run() != stop.run()) {
             return;
         }
-        Step step = jobs.get(stop.task().job())
-                .drawn()
+        Step step = submissions
+                .get(stop.task().job())
+                .sample()
                 .job()
                 .steps()
                 .get(stop.task().step());
-        double reached = run.progress(millis);
-        boolean saves = step.mode().checkpoint();
-        if (!saves) {
-            wasted += (reached - run.from) * run.seconds * step.demand().coreEquivalents();
+        double progress = run.progress(millis);
+        boolean checkpoints = step.mode().checkpoint();
+        if (!checkpoints) {
+            wastedCoreSeconds +=
+                    (progress - run.startProgress) * run.seconds * step.demand().coreEquivalents();
         }
-        end(run, TargetReport.EndReason.STOPPED, saves ? Double.toString(reached) : "");
+        endRun(run, TargetReport.EndReason.STOPPED, checkpoints ? Double.toString(progress) : "");
     }
 
-    private void end(Running run, TargetReport.EndReason how, String saved) {
+    private void endRun(Running run, TargetReport.EndReason reason, String checkpoint) {
         running.remove(run.start.task());
-        long number = ends.merge(run.start.target(), 1L, Long::sum);
+        long number = endCounts.merge(run.start.target(), 1L, Long::sum);
         report(
                 run.start.target(),
-                List.of(new TargetReport.Ended(number, run.start.task(), run.start.run(), how, saved)));
+                List.of(new TargetReport.Ended(number, run.start.task(), run.start.run(), reason, checkpoint)));
     }
 
-    private void reportOften(String target) {
+    private void reportPeriodically(String target) {
         report(target, List.of());
-        at(millis + REPORT_MILLIS, () -> reportOften(target));
+        schedule(millis + REPORT_INTERVAL_MILLIS, () -> reportPeriodically(target));
     }
 
     private void report(String target, List<TargetReport.Ended> ended) {
@@ -258,45 +260,46 @@
         pool.handleReport(new TargetReport(target, 1, now().monotonicNanos() - 1, list, ended), now());
     }
 
-    private Figures figures() {
+    private Results results() {
         Map<String, double[]> sums = new LinkedHashMap<>();
-        for (Asked asked : jobs.values()) {
-            WorkKind kind = asked.kind();
-            Job job = asked.drawn().job();
-            double weight = 0.3 + 0.7 * Math.min(4, work(asked) / meanWork(kind));
+        for (Submission submission : submissions.values()) {
+            WorkKind kind = submission.kind();
+            Job job = submission.sample().job();
+            double weight = 0.3 + 0.7 * Math.min(4, workCoreSeconds(submission) / meanWorkCoreSeconds(kind));
             double[] sum = sums.computeIfAbsent(kind.name(), name -> new double[5]);
-            double objective = kind.terms().stretch() * asked.drawn().chainSeconds() * 1_000
-                    + kind.terms().objectiveMillis();
-            long took = doneMillis.getOrDefault(job.id(), Long.MAX_VALUE / 2) - job.acceptedMillis();
-            int outcome = took > 3 * objective ? 2 : took > objective ? 1 : 0;
-            sum[0] += weight * kind.worth();
-            sum[1] += weight * (outcome == 0 ? kind.worth() : outcome == 1 ? kind.lateWorth() : 0);
+            double objectiveMillis =
+                    kind.terms().stretch() * submission.sample().criticalPathSeconds() * 1_000
+                            + kind.terms().objectiveMillis();
+            long tookMillis = doneMillis.getOrDefault(job.id(), Long.MAX_VALUE / 2) - job.acceptedMillis();
+            int outcome = tookMillis > 3 * objectiveMillis ? 2 : tookMillis > objectiveMillis ? 1 : 0;
+            sum[0] += weight * kind.value();
+            sum[1] += weight * (outcome == 0 ? kind.value() : outcome == 1 ? kind.lateValue() : 0);
             sum[2 + outcome]++;
         }
-        Map<String, Fared> kinds = new LinkedHashMap<>();
-        sums.forEach(
-                (name, sum) -> kinds.put(name, new Fared(sum[1] / sum[0], (int) sum[2], (int) sum[3], (int) sum[4])));
-        double owed = 0;
-        double earned = 0;
+        Map<String, KindResult> kinds = new LinkedHashMap<>();
+        sums.forEach((name, sum) ->
+                kinds.put(name, new KindResult(sum[1] / sum[0], (int) sum[2], (int) sum[3], (int) sum[4])));
+        double maxValue = 0;
+        double earnedValue = 0;
         for (double[] sum : sums.values()) {
-            owed += sum[0];
-            earned += sum[1];
+            maxValue += sum[0];
+            earnedValue += sum[1];
         }
-        return new Figures(kinds, earned / owed, wasted);
+        return new Results(kinds, earnedValue / maxValue, wastedCoreSeconds);
     }
 
-    private static double work(Asked asked) {
+    private static double workCoreSeconds(Submission submission) {
         double sum = 0;
-        for (int i = 0; i < asked.drawn().seconds().length; i++) {
-            Step step = asked.drawn().job().steps().get(i);
+        for (int i = 0; i < submission.sample().taskSeconds().length; i++) {
+            Step step = submission.sample().job().steps().get(i);
             sum += step.count()
                     * step.demand().coreEquivalents()
-                    * asked.drawn().seconds()[i];
+                    * submission.sample().taskSeconds()[i];
         }
         return sum;
     }
 
-    private static double meanWork(WorkKind kind) {
+    private static double meanWorkCoreSeconds(WorkKind kind) {
         double accelerators = 0;
         for (int each : kind.accelerators()) {
             accelerators += (double) each / kind.accelerators().length;
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolTest.java
@@ -17,8 +17,8 @@
 
     @Test
     void aStartLeavesOnlyWithTheRecordThatNamesIt() {
-        fixture.target("t1", "r1");
-        fixture.pool.submit(fixture.job("a", "x", 1, PoolFixture.plain(1, 1)));
+        fixture.addTarget("t1", "r1");
+        fixture.pool.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 1)));
         fixture.pool.schedule(fixture.now());
         Batch batch = fixture.pool.takeBatch();
         assertThat(batch.starts()).hasSize(1);
@@ -29,35 +29,35 @@
 
     @Test
     void aJobIsDoneOnceEveryTaskOfEveryStepIsDone() {
-        fixture.target("t1", "r1");
+        fixture.addTarget("t1", "r1");
         Step second = new Step(1, new Resources(1, 1, 1), 10, List.of(0), Step.Constraints.NONE, Step.Mode.PLAIN);
-        fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(2, 1), second));
+        fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(2, 1), second));
         assertThat(fixture.starts).hasSize(2);
-        fixture.end(PoolFixture.task("a", 0), TargetReport.EndReason.DONE);
+        fixture.endRun(PoolFixture.taskId("a", 0), TargetReport.EndReason.DONE);
         assertThat(fixture.starts).hasSize(2);
-        fixture.end(PoolFixture.task("a", 1), TargetReport.EndReason.DONE);
+        fixture.endRun(PoolFixture.taskId("a", 1), TargetReport.EndReason.DONE);
         assertThat(fixture.starts).hasSize(3);
         assertThat(state("a")).isEqualTo(JobState.RUNNING);
-        fixture.end(new TaskId("a", 0, 1, 0), TargetReport.EndReason.DONE);
+        fixture.endRun(new TaskId("a", 0, 1, 0), TargetReport.EndReason.DONE);
         assertThat(state("a")).isEqualTo(JobState.DONE);
     }
 
     @Test
     void aGangStartsWholeOrNotAtAll() {
-        fixture.target("t1", "r1");
+        fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.gang(2, 8, false)));
         assertThat(fixture.starts).isEmpty();
-        fixture.target("t2", "r2");
-        fixture.settle();
+        fixture.addTarget("t2", "r2");
+        fixture.schedulePass();
         assertThat(fixture.starts).hasSize(2);
         assertThat(fixture.starts.get(0).run()).isEqualTo(fixture.starts.get(1).run());
     }
 
     @Test
     void aTightGangRunsOnOneRack() {
-        fixture.target("t1", "r1");
-        fixture.target("t2", "r2");
-        fixture.target("t3", "r2");
+        fixture.addTarget("t1", "r1");
+        fixture.addTarget("t2", "r2");
+        fixture.addTarget("t3", "r2");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.gang(2, 8, true)));
         Set<String> targets = new HashSet<>();
         fixture.starts.forEach(start -> targets.add(start.target()));
@@ -67,12 +67,12 @@
     /** Pattern: small long work spread over all racks leaves none whole for a tight gang, which then stops others. */
     @Test
     void smallWorkFillsOneRackBeforeItOpensAnother() {
-        fixture.target("t1", "r1");
-        fixture.target("t2", "r2");
-        fixture.target("t3", "r1");
-        fixture.target("t4", "r2");
-        fixture.submit(fixture.job("small", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.submit(fixture.job("more", "x", 1, PoolFixture.plain(1, 8)));
+        fixture.addTarget("t1", "r1");
+        fixture.addTarget("t2", "r2");
+        fixture.addTarget("t3", "r1");
+        fixture.addTarget("t4", "r2");
+        fixture.submit(fixture.job("small", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.submit(fixture.job("more", "x", 1, PoolFixture.independentTasks(1, 8)));
         fixture.submit(fixture.job("large", "x", 0, PoolFixture.gang(2, 8, true)));
         assertThat(fixture.stops).isEmpty();
         assertThat(fixture.starts).hasSize(4);
@@ -80,103 +80,104 @@
 
     @Test
     void oneEndDoneStandsForTheWholeGang() {
-        fixture.target("t1", "r1");
-        fixture.target("t2", "r1");
+        fixture.addTarget("t1", "r1");
+        fixture.addTarget("t2", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.gang(2, 8, false)));
-        fixture.end(PoolFixture.task("a", 1), TargetReport.EndReason.DONE);
+        fixture.endRun(PoolFixture.taskId("a", 1), TargetReport.EndReason.DONE);
         assertThat(state("a")).isEqualTo(JobState.DONE);
     }
 
     @Test
     void aFailureOfOneGangMemberStopsTheOthersAndCountsOnce() {
-        fixture.target("t1", "r1");
-        fixture.target("t2", "r1");
-        fixture.target("t3", "r1");
-        fixture.target("t4", "r1");
+        fixture.addTarget("t1", "r1");
+        fixture.addTarget("t2", "r1");
+        fixture.addTarget("t3", "r1");
+        fixture.addTarget("t4", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.gang(2, 8, false)));
-        fixture.end(PoolFixture.task("a", 0), TargetReport.EndReason.FAILED);
+        fixture.endRun(PoolFixture.taskId("a", 0), TargetReport.EndReason.FAILED);
         assertThat(fixture.stops).hasSize(1);
-        fixture.end(PoolFixture.task("a", 1), TargetReport.EndReason.FAILED);
+        fixture.endRun(PoolFixture.taskId("a", 1), TargetReport.EndReason.FAILED);
         assertThat(state("a")).isNotEqualTo(JobState.FAILED);
         assertThat(fixture.starts).hasSize(4);
-        fixture.end(PoolFixture.task("a", 0), TargetReport.EndReason.FAILED);
+        fixture.endRun(PoolFixture.taskId("a", 0), TargetReport.EndReason.FAILED);
         assertThat(state("a")).isEqualTo(JobState.FAILED);
     }
 
     @Test
     void aTargetThatStartsAgainHasLostItsRuns() {
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.restart("t1", "r1");
-        fixture.settle();
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.restartTarget("t1", "r1");
+        fixture.schedulePass();
         assertThat(fixture.starts).hasSize(1);
         fixture.report("t1");
-        fixture.settle();
+        fixture.schedulePass();
         assertThat(fixture.starts).hasSize(2);
         assertThat(fixture.starts.get(1).run()).isEqualTo(2);
     }
 
     @Test
     void workOfASilentTargetRunsElsewhereOnlyAfterItsLeaseIsOver() {
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.target("t2", "r1");
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.addTarget("t2", "r1");
         fixture.pool.exclude("t1", 1_000, fixture.now());
         fixture.pool.unregister("t1");
-        fixture.pass(5_000);
+        fixture.advance(5_000);
         assertThat(fixture.starts).hasSize(1);
         fixture.pool.handleLeaseExpiry("t1", fixture.now());
-        fixture.settle();
+        fixture.schedulePass();
         assertThat(fixture.starts).hasSize(2);
         assertThat(fixture.starts.get(1).target()).isEqualTo("t2");
     }
 
     @Test
     void aRestoredRunIsKeptIfItsTargetStillReportsIt() {
-        fixture.target("t1", "r1");
-        Job job = fixture.job("a", "x", 1, PoolFixture.plain(1, 8));
+        fixture.addTarget("t1", "r1");
+        Job job = fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8));
         fixture.submit(job);
         PoolFixture successor = new PoolFixture();
         successor.running.putAll(fixture.running);
         successor.pool.restore(job, fixture.durable.get("a"), successor.now());
-        successor.target("t1", "r1");
-        successor.settle();
+        successor.addTarget("t1", "r1");
+        successor.schedulePass();
         assertThat(successor.starts).isEmpty();
-        successor.end(PoolFixture.task("a", 0), TargetReport.EndReason.DONE);
+        successor.endRun(PoolFixture.taskId("a", 0), TargetReport.EndReason.DONE);
         assertThat(successor.durable.get("a").state()).isEqualTo(JobState.DONE);
     }
 
     @Test
     void aRestoredRunThatItsTargetDoesNotKnowStartsAgainUnderAHigherNumber() {
-        fixture.target("t1", "r1");
-        Job job = fixture.job("a", "x", 1, PoolFixture.plain(1, 8));
+        fixture.addTarget("t1", "r1");
+        Job job = fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8));
         fixture.submit(job);
         PoolFixture successor = new PoolFixture();
         successor.pool.restore(job, fixture.durable.get("a"), successor.now());
-        successor.target("t1", "r1");
-        successor.settle();
+        successor.addTarget("t1", "r1");
+        successor.schedulePass();
         assertThat(successor.starts).hasSize(1);
         assertThat(successor.starts.get(0).run()).isEqualTo(2);
     }
 
     @Test
     void aRunThatNobodyAskedForIsStopped() {
-        fixture.target("t1", "r1");
+        fixture.addTarget("t1", "r1");
         fixture.running.put(
-                PoolFixture.task("a", 0), new TargetCommand.Start("t1", 1, PoolFixture.task("a", 0), 7, "payload", ""));
+                PoolFixture.taskId("a", 0),
+                new TargetCommand.Start("t1", 1, PoolFixture.taskId("a", 0), 7, "payload", ""));
         fixture.report("t1");
-        fixture.settle();
-        assertThat(fixture.stops).containsExactly(new TargetCommand.Stop("t1", 1, PoolFixture.task("a", 0), 7));
+        fixture.schedulePass();
+        assertThat(fixture.stops).containsExactly(new TargetCommand.Stop("t1", 1, PoolFixture.taskId("a", 0), 7));
     }
 
     @Test
     void aCancelledJobStopsAndStartsNothing() {
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("a", "x", 1, PoolFixture.plain(2, 5)));
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(2, 5)));
         assertThat(fixture.starts).hasSize(1);
         fixture.pool.cancel("a", fixture.now());
-        fixture.settle();
-        fixture.obeyStops();
+        fixture.schedulePass();
+        fixture.completeStops();
         assertThat(state("a")).isEqualTo(JobState.CANCELLED);
         assertThat(fixture.starts).hasSize(1);
     }
@@ -187,16 +188,16 @@
      */
     @Test
     void aGangThatWaitedLongStillPrefersOneRack() {
-        fixture.guarantee("owner", 32);
-        fixture.target("t1", "r1");
-        fixture.target("t2", "r2");
-        fixture.submit(fixture.job("first", "owner", 0, PoolFixture.plain(1, 4)));
-        fixture.submit(fixture.job("second", "owner", 0, PoolFixture.plain(1, 5)));
+        fixture.setGuarantee("owner", 32);
+        fixture.addTarget("t1", "r1");
+        fixture.addTarget("t2", "r2");
+        fixture.submit(fixture.job("first", "owner", 0, PoolFixture.independentTasks(1, 4)));
+        fixture.submit(fixture.job("second", "owner", 0, PoolFixture.independentTasks(1, 5)));
         fixture.submit(fixture.job("gang", "owner", 0, PoolFixture.gang(2, 4, true)));
-        fixture.pass(2_000);
+        fixture.advance(2_000);
         assertThat(fixture.starts).hasSize(2);
-        fixture.target("t3", "r3");
-        fixture.settle();
+        fixture.addTarget("t3", "r3");
+        fixture.schedulePass();
         assertThat(fixture.starts).hasSize(4);
         assertThat(fixture.starts.get(2).target()).isEqualTo("t3");
         assertThat(fixture.starts.get(3).target()).isEqualTo("t3");
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PreemptionTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PreemptionTest.java
@@ -15,92 +15,92 @@
 
     @Test
     void aClaimWithinTheGuaranteeStopsOthersWorkAtOnce() {
-        fixture.guarantee("owner", 8);
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("borrower", "x", 1, PoolFixture.plain(1, 8)));
+        fixture.setGuarantee("owner", 8);
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("borrower", "x", 1, PoolFixture.independentTasks(1, 8)));
         fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.gang(1, 8, false)));
         assertThat(fixture.stops).hasSize(1);
         assertThat(fixture.starts).hasSize(1);
-        fixture.obeyStops();
+        fixture.completeStops();
         assertThat(fixture.starts.get(1).task().job()).isEqualTo("claim");
     }
 
     @Test
     void workOfPriorityZeroBeyondItsGuaranteeYieldsToAClaimWithin() {
-        fixture.guarantee("owner", 8);
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("borrower", "x", 0, PoolFixture.plain(1, 8)));
-        fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.plain(1, 8)));
+        fixture.setGuarantee("owner", 8);
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("borrower", "x", 0, PoolFixture.independentTasks(1, 8)));
+        fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.independentTasks(1, 8)));
         assertThat(fixture.stops).hasSize(1);
     }
 
     /** Pattern: a claim arrives while others' work is about to end; stopping it would lose nearly all of it. */
     @Test
     void aClaimWaitsForWorkThatIsAboutToEnd() {
-        fixture.guarantee("owner", 8);
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("borrower", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.pass(4_700);
-        fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.plain(1, 8)));
+        fixture.setGuarantee("owner", 8);
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("borrower", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.advance(4_700);
+        fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.independentTasks(1, 8)));
         assertThat(fixture.stops).isEmpty();
-        fixture.pass(1_100);
-        fixture.pass(10);
+        fixture.advance(1_100);
+        fixture.advance(10);
         assertThat(fixture.stops).hasSize(1);
     }
 
     /** Pattern: short urgent work beyond its guarantee arrives while long work without checkpoints is nearly done. */
     @Test
     void workBeyondTheGuaranteeDoesNotThrowAwayMuchMoreThanItDoes() {
-        fixture.target("t1", "r1");
+        fixture.addTarget("t1", "r1");
         Step lengthy =
                 new Step(1, new Resources(1_000, 1_000, 8), 60_000, List.of(), Step.Constraints.NONE, Step.Mode.PLAIN);
         fixture.submit(fixture.job("borrower", "x", 1, lengthy));
-        fixture.pass(20_000);
-        fixture.submit(fixture.job("beyond", "owner", 0, PoolFixture.plain(1, 8)));
-        fixture.pass(3_000);
+        fixture.advance(20_000);
+        fixture.submit(fixture.job("beyond", "owner", 0, PoolFixture.independentTasks(1, 8)));
+        fixture.advance(3_000);
         assertThat(fixture.stops).isEmpty();
     }
 
     /** Pattern: the same large job was stopped for urgent work again and again, while others were left alone. */
     @Test
     void workThatWasStoppedForOthersBeforeIsSparedNextTime() {
-        fixture.guarantee("owner", 64);
-        fixture.target("t1", "r1");
-        fixture.target("t2", "r1");
-        fixture.submit(fixture.job("other", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.pass(400);
-        fixture.submit(fixture.job("large", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.pass(400);
-        fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.plain(1, 8)));
+        fixture.setGuarantee("owner", 64);
+        fixture.addTarget("t1", "r1");
+        fixture.addTarget("t2", "r1");
+        fixture.submit(fixture.job("other", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.advance(400);
+        fixture.submit(fixture.job("large", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.advance(400);
+        fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.independentTasks(1, 8)));
         assertThat(fixture.stops.get(0).task().job()).isEqualTo("large");
-        fixture.obeyStops();
-        fixture.target("t3", "r1");
-        fixture.settle();
-        fixture.pass(3_000);
-        fixture.submit(fixture.job("next", "owner", 0, PoolFixture.plain(1, 8)));
+        fixture.completeStops();
+        fixture.addTarget("t3", "r1");
+        fixture.schedulePass();
+        fixture.advance(3_000);
+        fixture.submit(fixture.job("next", "owner", 0, PoolFixture.independentTasks(1, 8)));
         assertThat(fixture.stops.get(0).task().job()).isEqualTo("other");
     }
 
     /** Pattern: a claim stopped another account's urgent work, which was late then, though other work could wait. */
     @Test
     void aClaimStopsWorkThatCanWaitRatherThanUrgentWork() {
-        fixture.guarantee("owner", 8);
-        fixture.target("t1", "r1");
-        fixture.target("t2", "r1");
-        fixture.submit(fixture.job("patient", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.pass(1_500);
-        fixture.submit(fixture.job("urgent", "x", 0, PoolFixture.plain(1, 8)));
-        fixture.pass(1_000);
-        fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.plain(1, 8)));
+        fixture.setGuarantee("owner", 8);
+        fixture.addTarget("t1", "r1");
+        fixture.addTarget("t2", "r1");
+        fixture.submit(fixture.job("patient", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.advance(1_500);
+        fixture.submit(fixture.job("urgent", "x", 0, PoolFixture.independentTasks(1, 8)));
+        fixture.advance(1_000);
+        fixture.submit(fixture.job("claim", "owner", 0, PoolFixture.independentTasks(1, 8)));
         assertThat(fixture.stops.get(0).task().job()).isEqualTo("patient");
     }
 
     /** Pattern: a short preview that takes whole targets was never worth its victims, and waited for many seconds. */
     @Test
     void aShortPreviewThatTakesWholeTargetsDoesNotWaitForLongWork() {
-        fixture.target("t1", "r1");
-        fixture.submit(fixture.job("patient", "x", 1, PoolFixture.plain(1, 8)));
-        fixture.pass(3_000);
+        fixture.addTarget("t1", "r1");
+        fixture.submit(fixture.job("patient", "x", 1, PoolFixture.independentTasks(1, 8)));
+        fixture.advance(3_000);
         Step brief =
                 new Step(1, new Resources(1_000, 1_000, 8), 300, List.of(), Step.Constraints.NONE, Step.Mode.PLAIN);
         fixture.submit(fixture.job("preview", "y", 0, brief));
@@ -113,25 +113,25 @@
      */
     @Test
     void anUrgentGangKeepsTheRoomThatIsSetAsideForIt() {
-        fixture.target("t1", "r1");
+        fixture.addTarget("t1", "r1");
         Step lengthy =
                 new Step(1, new Resources(1_000, 1_000, 8), 60_000, List.of(), Step.Constraints.NONE, Step.Mode.PLAIN);
         fixture.submit(fixture.job("patient", "x", 1, lengthy));
-        fixture.pass(30_000);
+        fixture.advance(30_000);
         fixture.submit(fixture.job("urgent", "y", 0, PoolFixture.gang(1, 8, false)));
         List<String> lines = new ArrayList<>();
-        Handler handler = recorder(lines);
+        Handler handler = recordingHandler(lines);
         Logger logger = Logger.getLogger(PlacementPass.class.getName());
         logger.addHandler(handler);
         for (int i = 0; i < 250; i++) {
-            fixture.pass(20);
+            fixture.advance(20);
         }
         logger.removeHandler(handler);
         assertThat(fixture.stops).isEmpty();
         assertThat(lines.size()).isAtMost(5);
     }
 
-    private static Handler recorder(List<String> lines) {
+    private static Handler recordingHandler(List<String> lines) {
         return new Handler() {
             @Override
             public void publish(LogRecord record) {
