--- a/acacia-pool/src/main/java/org/acaciaport/pool/AccountDemand.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/AccountDemand.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Compares what client accounts use of the highest priority with their guarantees.
+ * The demand of client accounts for accelerators at the highest priority, compared with their guarantees.
  *
- * <p>A reading at one moment; for the pool's thread only.
+ * <p>A snapshot. Not thread-safe; confined to the thread of the pool.
  */
 final class AccountDemand {
     private final Map<String, Long> requestedAccelerators = new HashMap<>();
@@ -17,7 +17,7 @@
         this.guarantees = guarantees;
     }
 
-    /** Sums up what the unfinished jobs of priority 0 ask for. */
+    /** Returns the demand of all unfinished jobs of priority 0; each counts with the demand of its largest step. */
     static AccountDemand of(Collection<JobExecution> jobs, PoolSettings settings) {
         AccountDemand demand = new AccountDemand(settings.guarantees());
         for (JobExecution job : jobs) {
@@ -33,7 +33,7 @@
         return demand;
     }
 
-    /** Returns whether all that {@code account} asks for is within its guarantee. */
+    /** Returns whether the total demand of {@code account} is within its guarantee. */
     boolean isWithinGuarantee(String account) {
         return requestedAccelerators.getOrDefault(account, 0L) <= guarantees.getOrDefault(account, 0L);
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Batch.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Batch.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * Records to make durable together, and what may happen only afterwards.
+ * A set of records to persist together, and the actions that are allowed only once they are durable.
  *
  * <p>Immutable.
  *
- * @param records newest progress of every job that changed
- * @param starts orders that the records cover
- * @param acknowledgements by target, the last end that the records cover
+ * @param records current progress of each changed job
+ * @param starts start commands covered by the records
+ * @param acknowledgements for each target, the ended runs covered by the records
  */
 public record Batch(
         List<JobProgress> records, List<TargetCommand.Start> starts, Map<String, Acknowledgement> acknowledgements) {
-    /** Copies the collections. */
+    /** Creates a batch with immutable copies of the collections. */
     public Batch {
         records = List.copyOf(records);
         starts = List.copyOf(starts);
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Ends of one target that need not be kept.
+     * Ended runs that a target no longer has to report.
      *
-     * @param incarnation the life in which they were numbered
-     * @param upTo number of the last one
+     * @param incarnation incarnation of the target in which the runs ended
+     * @param upTo sequence number of the last of these ended runs, inclusive
      */
     public record Acknowledgement(long incarnation, long upTo) {}
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/ClockReading.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/ClockReading.java
@@ -1,28 +1,28 @@
 package org.acaciaport.pool;
 
 /**
- * One instant on both clocks.
+ * A simultaneous reading of the monotonic clock and the wall clock.
  *
  * <p>Immutable.
  *
- * @param monotonicNanos reading of the steady clock, in nanoseconds; compares only with other readings of this process
- * @param wallClockMillis time of day, in milliseconds since 1970
+ * @param monotonicNanos monotonic clock, in nanoseconds; comparable only with readings taken in the same process
+ * @param wallClockMillis wall clock, in milliseconds since the epoch
  */
 public record ClockReading(long monotonicNanos, long wallClockMillis) {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Returns the steady reading {@code millis} milliseconds later. */
+    /** Returns the monotonic clock reading {@code millis} milliseconds after this one. */
     public long nanosAfter(long millis) {
         return monotonicNanos + millis * NANOS_PER_MILLI;
     }
 
-    /** Returns the seconds since the steady reading {@code earlier}. */
+    /** Returns the seconds since the monotonic clock reading {@code earlier}; negative if that lies ahead. */
     double secondsSince(long earlier) {
         return (monotonicNanos - earlier) / NANOS_PER_SECOND;
     }
 
-    /** Returns the milliseconds since the steady reading {@code earlier}. */
+    /** Returns the milliseconds since the monotonic clock reading {@code earlier}; negative if that lies ahead. */
     public long millisSince(long earlier) {
         return (monotonicNanos - earlier) / NANOS_PER_MILLI;
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Job.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Job.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * What a caller submitted, with the settings of its queue at that time.
+ * A submitted job, with the settings of its queue at the time of acceptance.
  *
  * <p>Immutable.
  *
- * @param id the caller's id, unique
- * @param queue name of the queue
+ * @param id unique id chosen by the caller
+ * @param queue name of the queue that the job was submitted to
  * @param service name of the service whose targets run the tasks
- * @param account the client account; empty on public queues
- * @param terms how the queue treats its jobs
- * @param payload text handed to every task
- * @param steps the steps, in order
- * @param schedule when the steps run
- * @param acceptedMillis time of acceptance, in milliseconds since 1970
+ * @param account client account; empty on public queues
+ * @param terms scheduling terms of the queue
+ * @param payload text passed to each task
+ * @param steps steps of the job; a step depends only on earlier ones
+ * @param schedule times at which the steps run
+ * @param acceptedMillis time of acceptance, in milliseconds since the epoch
  */
 public record Job(
         String id,
@@ -27,39 +27,39 @@
         List<Step> steps,
         Schedule schedule,
         long acceptedMillis) {
-    /** Copies the list. */
+    /** Creates a job with an immutable copy of {@code steps}. */
     public Job {
         steps = List.copyOf(steps);
     }
 
     /**
-     * How a queue treats its jobs.
+     * The scheduling terms of a queue.
      *
-     * @param priority 0 comes first
-     * @param attempts failures of a task or gang after which the job has failed
-     * @param stretch objective as a multiple of the longest chain of work
-     * @param objectiveMillis time added to the objective, in milliseconds
+     * @param priority priority of the jobs; 0 is the highest
+     * @param attempts number of failures of one task or gang after which the job fails
+     * @param stretch factor applied to the critical path of the job to obtain its completion-time objective
+     * @param objectiveMillis constant part of the objective, in milliseconds
      */
     public record Terms(int priority, int attempts, double stretch, long objectiveMillis) {}
 
     /**
-     * When the steps of a job run.
+     * The times at which the steps of a job run.
      *
-     * @param times how often; 0 for once, at once
-     * @param firstMillis when they run first, in milliseconds since 1970
-     * @param intervalMillis time between two runs, in milliseconds
+     * @param times number of occurrences; 0 for a single one that is due at acceptance
+     * @param firstMillis due time of the first occurrence, in milliseconds since the epoch
+     * @param intervalMillis time between due times of successive occurrences, in milliseconds
      */
     public record Schedule(int times, long firstMillis, long intervalMillis) {
-        /** Once, at once. */
+        /** A single occurrence that is due at acceptance. */
         public static final Schedule NOW = new Schedule(0, 0, 0);
     }
 
-    /** Returns how often the steps run. */
+    /** Returns the number of occurrences. */
     public int occurrenceCount() {
         return Math.max(1, schedule.times());
     }
 
-    /** Returns when occurrence {@code number} is due, in milliseconds since 1970. */
+    /** Returns the due time of occurrence {@code number}, in milliseconds since the epoch. */
     public long dueMillis(int number) {
         return schedule.times() == 0 ? acceptedMillis : schedule.firstMillis() + number * schedule.intervalMillis();
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/JobExecution.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/JobExecution.java
@@ -8,10 +8,10 @@
 import java.util.TreeSet;
 
 /**
- * One job as the pool sees it.
+ * The execution state of one job.
  *
- * <p>Mutable, for the pool's thread only. An occurrence is either in {@code open} or in {@code doneOccurrences}, or has
- * not come due.
+ * <p>Mutable and not thread-safe; confined to the thread of the pool. Each occurrence is either in
+ * {@code openOccurrences}, in {@code doneOccurrences}, or not yet due.
  */
 final class JobExecution {
     final Job spec;
@@ -26,7 +26,7 @@
         objective = Objective.of(spec);
     }
 
-    /** Returns the steps of an occurrence, begun now if it was not. */
+    /** Returns the steps of an occurrence, and opens the occurrence if it is not open. */
     List<StepExecution> occurrence(int number) {
         return openOccurrences.computeIfAbsent(number, k -> {
             List<StepExecution> steps = new ArrayList<>();
@@ -37,12 +37,12 @@
         });
     }
 
-    /** Returns the begun occurrences that are not done. */
+    /** Returns the steps of each open occurrence. */
     Collection<List<StepExecution>> openOccurrences() {
         return openOccurrences.values();
     }
 
-    /** Returns the task, or null if the job has no such task or its occurrence is done or not begun. */
+    /** Returns the task, or null if its occurrence is not open or has no such task. */
     TaskExecution task(TaskId id) {
         List<StepExecution> steps = openOccurrences.get(id.occurrence());
         if (steps == null || id.step() < 0 || id.step() >= steps.size()) {
@@ -52,7 +52,7 @@
         return id.index() < 0 || id.index() >= tasks.size() ? null : tasks.get(id.index());
     }
 
-    /** Begins the occurrences that are due by {@code nowMillis}. */
+    /** Opens the occurrences that are due by {@code nowMillis}, in milliseconds since the epoch. */
     void openDueOccurrences(long nowMillis) {
         int next = 0;
         if (!openOccurrences.isEmpty()) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Moves an occurrence of which every step is done, and ends the job with the last one. */
+    /** Marks an open occurrence as done, and ends the job if it was the last one. */
     void closeOccurrence(int occurrence, long nowMillis) {
         openOccurrences.remove(occurrence);
         doneOccurrences.add(occurrence);
@@ -81,7 +81,7 @@
         endedMillis = nowMillis;
     }
 
-    /** Returns every task of the begun occurrences. */
+    /** Returns all tasks of the open occurrences. */
     List<TaskExecution> tasks() {
         List<TaskExecution> all = new ArrayList<>();
         for (List<StepExecution> steps : openOccurrences.values()) {
@@ -92,7 +92,7 @@
         return all;
     }
 
-    /** Returns the durable record of this job. */
+    /** Returns the record to persist for this job. */
     JobProgress progress() {
         List<JobProgress.Task> tasks = new ArrayList<>();
         for (TaskExecution task : tasks()) {
@@ -120,7 +120,7 @@
                 tasksToStore(tasks, ended));
     }
 
-    /** A job that has ended needs only the runs that may still be there. */
+    /** Filters the tasks to persist: for an ended job, only those with a run that may still be active. */
     private static List<JobProgress.Task> tasksToStore(List<JobProgress.Task> tasks, boolean ended) {
         if (!ended) {
             return tasks;
--- a/acacia-pool/src/main/java/org/acaciaport/pool/JobProgress.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/JobProgress.java
@@ -3,35 +3,36 @@
 import java.util.List;
 
 /**
- * The durable record of how far a job is. A successor needs nothing else to go on.
+ * The persistent progress of a job. Together with the {@link Job}, it is all that a new leader needs to take over.
  *
  * <p>Immutable.
  *
- * @param id the job
- * @param state how far it is
- * @param endedMillis when it ended, in milliseconds since 1970; 0 before
- * @param doneOccurrences occurrences of which every task is done
- * @param tasks tasks of other occurrences that have started at least once
+ * @param id id of the job
+ * @param state state of the job
+ * @param endedMillis time at which the job ended, in milliseconds since the epoch; 0 until then
+ * @param doneOccurrences indices of the occurrences whose tasks are all done; empty once the job has ended
+ * @param tasks tasks of other occurrences that have started at least once; once the job has ended, only those whose
+ *     newest run may still be active
  */
 public record JobProgress(
         String id, JobState state, long endedMillis, List<Integer> doneOccurrences, List<Task> tasks) {
-    /** Copies the lists. */
+    /** Creates a record with immutable copies of the lists. */
     public JobProgress {
         doneOccurrences = List.copyOf(doneOccurrences);
         tasks = List.copyOf(tasks);
     }
 
     /**
-     * How far a task is.
+     * The persistent progress of a task.
      *
-     * @param occurrence which run of a recurring job
-     * @param step number of its step
-     * @param index its number in the step
-     * @param lastRun number of its newest start
-     * @param failures runs that failed; for a gang, counted on its first task
-     * @param done whether it is done
-     * @param target where the newest run may be; empty if it is known to be over
-     * @param incarnation incarnation of that target
+     * @param occurrence index of the occurrence of a recurring job, from 0
+     * @param step index of the step in the job, from 0
+     * @param index index of the task in the step, from 0
+     * @param lastRun run number of the newest run
+     * @param failures number of failed runs; for a gang, counted on its first task
+     * @param done whether the task is done
+     * @param target target on which the newest run may be active; empty if that run is known to have ended
+     * @param incarnation incarnation of {@code target} to which the run was sent; 0 if {@code target} is empty
      * @param saved newest checkpoint; empty if there is none
      */
     public record Task(
--- a/acacia-pool/src/main/java/org/acaciaport/pool/JobState.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/JobState.java
@@ -1,19 +1,19 @@
 package org.acaciaport.pool;
 
-/** How far a job is. */
+/** The state of a job. */
 public enum JobState {
     /** No task has started. */
     QUEUED,
     /** A task has started. */
     RUNNING,
-    /** Every task is done. */
+    /** All tasks of all occurrences are done. */
     DONE,
-    /** A task or gang failed too often. */
+    /** A task or gang reached the maximum number of failures. */
     FAILED,
-    /** The caller took it back. */
+    /** The caller cancelled the job. */
     CANCELLED;
 
-    /** Returns whether it stays so. */
+    /** Returns whether a job never leaves this state. */
     public boolean isTerminal() {
         return this == DONE || this == FAILED || this == CANCELLED;
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/LocalityTier.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/LocalityTier.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 
 /**
- * Groups of targets, each of which may take a whole unit. In another tier than the first, work takes several times as
- * long, so a tier counts only where those before it have no room, not even after stops.
+ * Groups of targets with the same locality, each of which may host a whole unit. Outside the first tier, tasks take
+ * several times as long, so a tier is considered only if the tiers before it have no room even after preemption.
  *
- * <p>For the pool's thread only.
+ * <p>Not thread-safe; confined to the thread of the pool.
  *
- * @param groups the groups
+ * @param groups groups of targets
  */
 record LocalityTier(List<List<TargetState>> groups) {
-    /** How many times its estimated duration a task waits for the rack of its data. */
+    /** Multiple of its estimated duration that a task waits for a target in the rack of its data. */
     private static final double LOCALITY_WAIT_FACTOR = 1.0;
 
     /**
-     * Returns where {@code unit} may go, best first.
+     * Returns the tiers in which {@code unit} may be placed, best locality first.
      *
-     * @param racks the targets that it may use, by rack
-     * @param overdue whether it has waited too long within its guarantee to insist on the best place
-     * @param waitedMillis how long it has waited, in milliseconds
+     * @param racks eligible targets by rack
+     * @param overdue whether the unit is within its guarantee and has waited too long to require the best locality
+     * @param waitedMillis time that the unit has waited, in milliseconds
      */
     static List<LocalityTier> of(
             PlacementUnit unit, Map<String, List<TargetState>> racks, boolean overdue, long waitedMillis) {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Objective.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Objective.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * When a job should be done.
+ * The completion-time objective of a job.
  *
  * <p>Immutable.
  *
- * @param job the job
- * @param criticalPathMillis estimated longest chain of its steps, in milliseconds
+ * @param job the job that the objective applies to
+ * @param criticalPathMillis estimated duration of the longest chain of dependent steps, in milliseconds
  */
 record Objective(Job job, long criticalPathMillis) {
-    /** How many times its objective a late job may take and still be of use. */
+    /** Multiple of its objective up to which a late occurrence is still useful. */
     private static final int LATE_LIMIT_FACTOR = 3;
 
-    /** What an end of an occurrence is still worth, if it began now. The order is that in which work is taken up. */
+    /** Prospect of an occurrence that starts now. Declared in scheduling order: earlier constants go first. */
     enum DeadlineStatus {
-        /** It can still be done within its objective. */
+        /** The occurrence can still complete within its objective. */
         IN_TIME,
-        /** It can still be of use. */
+        /** The occurrence would miss its objective but still be useful. */
         LATE,
-        /** It is only owed. */
+        /** The occurrence would no longer be useful but still has to run. */
         MISSED
     }
 
@@ -40,12 +40,12 @@
         return new Objective(job, longest);
     }
 
-    /** Returns how long an occurrence should take, in milliseconds. */
+    /** Returns the time within which an occurrence should complete, in milliseconds. */
     private long durationMillis() {
         return (long) (job.terms().stretch() * criticalPathMillis) + job.terms().objectiveMillis();
     }
 
-    /** Returns the outlook of an occurrence that would begin at {@code nowMillis}. */
+    /** Returns the status of an occurrence that would start at {@code nowMillis}. */
     DeadlineStatus deadlineStatus(int occurrence, long nowMillis) {
         if (slackMillis(occurrence, nowMillis) >= 0) {
             return DeadlineStatus.IN_TIME;
@@ -54,7 +54,7 @@
         return stillUseful ? DeadlineStatus.LATE : DeadlineStatus.MISSED;
     }
 
-    /** Returns how long an occurrence can wait and still be done within its objective, in milliseconds. */
+    /** Returns how long an occurrence can wait and still complete within its objective, in milliseconds. */
     long slackMillis(int occurrence, long nowMillis) {
         return job.dueMillis(occurrence) + durationMillis() - criticalPathMillis - nowMillis;
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Outbox.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Outbox.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 
 /**
- * Collects what the pool wants done until it is taken.
+ * Collects the records to persist and the commands to send until the caller takes them.
  *
- * <p>Mutable, for the pool's thread only. Starts and acknowledgements leave only in a batch with the records that cover
- * them; stops need no record.
+ * <p>Mutable and not thread-safe; confined to the thread of the pool. Starts and acknowledgements are released only in
+ * a batch with the records that cover them; stops need no record.
  */
 final class Outbox {
     private final Set<JobExecution> changedJobs = new LinkedHashSet<>();
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Phase.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Phase.java
@@ -1,21 +1,21 @@
 package org.acaciaport.pool;
 
-/** Where the newest run of a task is in its life. */
+/** The phase of a task with respect to its newest run. */
 enum Phase {
-    /** There is no run. */
+    /** The task has no active run and no reservation. */
     WAITING,
-    /** A place is promised; the run starts once there is room. */
+    /** Resources are reserved on a target; the run starts once they are free. */
     RESERVED,
-    /** The start is about to be durable, or was sent and not yet confirmed. */
+    /** The start is being persisted, or was sent and is not yet confirmed. */
     STARTING,
-    /** The target confirmed the run. */
+    /** The target confirmed the start. */
     RUNNING,
-    /** It was told to stop. */
+    /** The target was told to stop the run. */
     STOPPING,
     /** The task is done. */
     DONE;
 
-    /** Returns whether a run in this phase may take room on its target. */
+    /** Returns whether a run may use resources of the target in this phase. */
     boolean mayOccupyTarget() {
         return this == STARTING || this == RUNNING || this == STOPPING;
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Placement.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Placement.java
@@ -9,9 +9,9 @@
 import java.util.function.Function;
 
 /**
- * Searches places for units. Takes time linear in the number of targets.
+ * Selection of targets for units. A selection takes time about linear in the number of targets.
  *
- * <p>Holds no state of its own; for the pool's thread only.
+ * <p>Has no mutable state of its own. Not thread-safe; confined to the thread of the pool.
  */
 final class Placement {
     private final Collection<TargetState> targets;
@@ -22,7 +22,11 @@
         this.settings = settings;
     }
 
-    /** Returns whether new work of {@code unit} may go to {@code target}, room aside. */
+    /**
+     * Returns whether {@code target} currently accepts tasks of {@code unit}, regardless of its free resources.
+     *
+     * @param nowNanos current monotonic clock reading, in nanoseconds
+     */
     boolean isEligible(PlacementUnit unit, TargetState target, long nowNanos) {
         return isCompatible(unit.job(), unit.step().spec, target)
                 && target.registered
@@ -32,7 +36,7 @@
                 && target.excludedUntilNanos <= nowNanos;
     }
 
-    /** Returns whether tasks of {@code step} could ever run on {@code target}. */
+    /** Returns whether {@code target}, if idle, could run a task of {@code step}. */
     static boolean isCompatible(Job job, Step step, TargetState target) {
         if (target.info == null || !target.info.service().equals(job.service())) {
             return false;
@@ -43,11 +47,12 @@
     }
 
     /**
-     * Returns a target for every task of {@code unit}, or null if there is not enough room. Fills targets, and then
-     * racks, that are in use already, so that whole ones stay free for large units.
+     * Returns a target for each task of {@code unit}, or null if the tasks do not all fit. Prefers targets with the
+     * fewest free accelerators, then racks with the fewest, so that idle targets and racks stay available to large
+     * units.
      *
-     * @param available the room of a target that the search may use
-     * @param candidates the targets to choose from
+     * @param candidates targets to choose from
+     * @param available resources of a target that the unit may use
      */
     static List<TargetState> selectTargets(
             PlacementUnit unit, List<TargetState> candidates, Function<TargetState, Resources> available) {
@@ -59,7 +64,7 @@
             Resources free = available.apply(target);
             freeByTarget.put(target, free);
             freeByRack.merge(target.rack(), Math.max(0, free.accelerators()), Long::sum);
-            int count = slots(unit, target, free);
+            int count = countSlots(unit, target, free);
             if (count > 0) {
                 slots.put(target, count);
                 total += count;
@@ -90,17 +95,17 @@
         return chosen;
     }
 
-    /** Returns how many tasks of {@code unit} fit into {@code room} on {@code target}. */
-    static int slots(PlacementUnit unit, TargetState target, Resources available) {
+    /** Returns how many tasks of {@code unit} fit into the resources {@code available} on {@code target}. */
+    static int countSlots(PlacementUnit unit, TargetState target, Resources available) {
         int limit = unit.step().spec.constraints().spreadLimit();
         int max = unit.size();
         if (limit > 0) {
-            max = Math.min(max, limit - countOn(unit.step(), target));
+            max = Math.min(max, limit - countTasksOn(unit.step(), target));
         }
         return max <= 0 ? 0 : unit.demand().countFitting(available, max);
     }
 
-    private static int countOn(StepExecution step, TargetState target) {
+    private static int countTasksOn(StepExecution step, TargetState target) {
         int count = 0;
         for (TaskExecution task : step.tasks) {
             if (task.target == target) {
@@ -110,7 +115,11 @@
         return count;
     }
 
-    /** Returns the targets that {@code unit} may use, by rack. */
+    /**
+     * Returns the targets that currently accept tasks of {@code unit}, by rack.
+     *
+     * @param nowNanos current monotonic clock reading, in nanoseconds
+     */
     Map<String, List<TargetState>> eligibleTargetsByRack(PlacementUnit unit, long nowNanos) {
         Map<String, List<TargetState>> racks = new HashMap<>();
         for (TargetState target : targets) {
@@ -121,12 +130,12 @@
         return racks;
     }
 
-    /** Returns whether all of {@code unit} could ever fit on one of {@code racks}. */
+    /** Returns whether all tasks of {@code unit} would fit on one of {@code racks} if its targets were idle. */
     static boolean fitsOnOneRack(PlacementUnit unit, Map<String, List<TargetState>> racks) {
         for (List<TargetState> rack : racks.values()) {
             int total = 0;
             for (TargetState target : rack) {
-                total += slots(unit, target, target.capacity());
+                total += countSlots(unit, target, target.capacity());
             }
             if (total >= unit.size()) {
                 return true;
--- a/acacia-pool/src/main/java/org/acaciaport/pool/PlacementPass.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PlacementPass.java
@@ -11,47 +11,51 @@
 import org.jboss.logging.Logger;
 
 /**
- * One pass that gives waiting work its places, in order of priority.
+ * A single scheduling pass, which places waiting units in scheduling order and starts those whose resources are free.
  *
- * <p>Made anew for each pass; for the pool's thread only.
+ * <p>A claim is a unit of the highest priority whose client account is within its guarantee. Created anew for each
+ * pass. Not thread-safe; confined to the thread of the pool.
  */
 final class PlacementPass {
     private static final Logger LOG = Logger.getLogger(PlacementPass.class);
 
-    /** Time within its guarantee after which a gang no longer waits for one rack, in milliseconds. */
+    /** Time after which a claim accepts targets outside its preferred locality, in milliseconds. */
     private static final long CLAIM_LOCALITY_WAIT_MILLIS = 1_000;
 
-    /** Time after which a unit that does not fit has room set aside, in milliseconds. */
+    /** Time that a gang waits before it may get an advance reservation, in milliseconds. */
     private static final long ADVANCE_RESERVATION_WAIT_MILLIS = 3_000;
 
-    /** Longest wait for running work to end before other work is stopped, in seconds. */
+    /** Longest predicted completion time of running tasks that is preferred to preemption, in seconds. */
     private static final double MAX_COMPLETION_WAIT_SECONDS = 0.8;
 
-    /** Wait for running work to end that any unit can afford, in seconds. */
+    /** Predicted completion time of running tasks that any unit may wait for, in seconds. */
     private static final double MIN_COMPLETION_WAIT_SECONDS = 0.3;
 
-    /** Part of the time that a unit has to spare that it may wait for running work to end. */
+    /** Fraction of its slack that a unit may spend waiting for running tasks to complete. */
     private static final double COMPLETION_WAIT_SLACK_FRACTION = 0.5;
 
-    /** Time within which a unit may choose to wait for running work, in milliseconds. */
+    /** Time after which a waiting unit may no longer choose to wait for completions, in milliseconds. */
     private static final long COMPLETION_WAIT_CHOICE_MILLIS = 200;
 
-    /** Time after which a unit no longer waits for work that was about to end, in milliseconds. */
+    /** Total waiting time after which a unit stops waiting for predicted completions, in milliseconds. */
     private static final long COMPLETION_WAIT_TIMEOUT_MILLIS = 1_000;
 
-    /** Time for which an urgent unit keeps room that was set aside before it chooses anew, in milliseconds. */
+    /**
+     * Time for which a unit of the highest priority keeps an advance reservation before it chooses anew, in
+     * milliseconds. Without it, the unit would lose and regain the reservation in each pass.
+     */
     private static final long ADVANCE_RESERVATION_HOLD_MILLIS = 1_000;
 
-    /** Pause between two searches for running work that could make room for the same step, in milliseconds. */
+    /** Interval between searches for running tasks that could make room for the same step, in milliseconds. */
     private static final long SEARCH_INTERVAL_MILLIS = 100;
 
-    /** Most work that may be lost for a unit beyond its guarantee, as a multiple of its own. */
+    /** Maximum work lost by preemption for a unit beyond its guarantee, as a multiple of the work of the unit. */
     private static final double MAX_LOSS_FACTOR = 2.0;
 
-    /** Work that may be lost for any urgent unit, however small, in core-seconds. */
+    /** Work that may be lost for any unit of the highest priority, however small, in core-seconds. */
     private static final double MIN_LOSS_BUDGET_CORE_SECONDS = 1_000;
 
-    /** Most units that have room set aside while they wait. */
+    /** Maximum number of advance reservations at the same time. */
     private static final int MAX_ADVANCE_RESERVATIONS = 1;
 
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -80,15 +84,17 @@
     }
 
     /**
-     * What outlives a pass.
+     * The collaborators of a pass that outlive it.
      *
-     * @param outbox takes starts
-     * @param targetHealth knows where a job failed
-     * @param taskLifecycle stops runs
+     * @param outbox collects start commands
+     * @param targetHealth tells on which targets a job failed
+     * @param taskLifecycle stops runs and cancels reservations
      */
     record Context(Outbox outbox, TargetHealth targetHealth, TaskLifecycle taskLifecycle) {}
 
-    /** A demand that found no room in this pass; others like it need not be tried. */
+    /**
+     * The properties that decide whether a single task fits; a demand that did not fit is not tried again in the pass.
+     */
     private record DemandKey(String service, Resources demand, String label, String nearRack) {}
 
     void run() {
@@ -169,19 +175,19 @@
                 .forEach(rack -> rack.removeIf(target ->
                         context.targetHealth().isExcludedForJob(unit.job().id(), target, targets)));
         List<LocalityTier> tiers = LocalityTier.of(unit, racks, isOverdueClaim(unit), waitedMillis(unit));
-        boolean mayDisplace = now.monotonicNanos() - unit.step().nextSearchNanos >= 0;
+        boolean searchDue = now.monotonicNanos() - unit.step().nextSearchNanos >= 0;
         for (LocalityTier tier : tiers) {
             if (placeInFreeCapacity(unit, tier)
-                    || mayDisplace && (waitForCompletions(unit, tier) || preempt(unit, tier))) {
+                    || searchDue && (waitForCompletions(unit, tier) || preempt(unit, tier))) {
                 return;
             }
         }
         for (LocalityTier tier : tiers) {
-            if (mayDisplace && reserveInAdvance(unit, tier)) {
+            if (searchDue && reserveInAdvance(unit, tier)) {
                 return;
             }
         }
-        if (mayDisplace) {
+        if (searchDue) {
             unit.step().nextSearchNanos = now.nanosAfter(SEARCH_INTERVAL_MILLIS);
         }
         if (cacheable) {
@@ -226,7 +232,7 @@
         return true;
     }
 
-    /** Waits for work that is about to end rather than stop any. */
+    /** Reserves resources of tasks that are about to complete, which avoids a preemption. */
     private boolean waitForCompletions(PlacementUnit unit, LocalityTier tier) {
         if (unit.priority() != 0 || waitedMillis(unit) > COMPLETION_WAIT_CHOICE_MILLIS) {
             return false;
@@ -241,7 +247,7 @@
         return true;
     }
 
-    /** Returns how long a unit can wait without being late for that, in seconds. */
+    /** Returns how long a unit may wait for completions without endangering its objective, in seconds. */
     private double completionWaitBudgetSeconds(PlacementUnit unit) {
         double slackSeconds = unit.step().slackMillis(now) / MILLIS_PER_SECOND;
         return Math.clamp(
@@ -269,13 +275,17 @@
         return best;
     }
 
-    /** Returns the work that may be lost so that a unit beyond its guarantee runs at once, in core-seconds. */
+    /** Returns the maximum work lost by preemption for a unit beyond its guarantee, in core-seconds. */
     private static double lossBudgetCoreSeconds(PlacementUnit unit) {
         double work =
                 unit.size() * unit.demand().coreEquivalents() * unit.step().spec.estimateSeconds();
         return Math.max(MIN_LOSS_BUDGET_CORE_SECONDS, MAX_LOSS_FACTOR * work);
     }
 
+    /**
+     * Stops tasks of lower priority to make room for a unit of the highest priority. A claim may also stop tasks of the
+     * highest priority whose accounts exceed their guarantees.
+     */
     private boolean preempt(PlacementUnit unit, LocalityTier tier) {
         if (unit.priority() != 0) {
             return false;
@@ -317,7 +327,7 @@
         }
     }
 
-    /** Sets room aside that frees up as running work ends, so that large units are not passed over for ever. */
+    /** Reserves the resources of running tasks that will complete first, so that a large gang does not starve. */
     private boolean reserveInAdvance(PlacementUnit unit, LocalityTier tier) {
         if (advanceReservations >= MAX_ADVANCE_RESERVATIONS
                 || waitedMillis(unit) < ADVANCE_RESERVATION_WAIT_MILLIS
--- a/acacia-pool/src/main/java/org/acaciaport/pool/PlacementUnit.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PlacementUnit.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Tasks that are placed together: all of a gang, or one task.
+ * The tasks that are placed together: all tasks of a gang, or a single task.
  *
  * <p>Immutable.
  *
- * @param step their step
- * @param tasks the tasks, all waiting
+ * @param step step that the tasks belong to
+ * @param tasks tasks to place
  */
 record PlacementUnit(StepExecution step, List<TaskExecution> tasks) {
     Job job() {
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Pool.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Pool.java
@@ -11,15 +11,16 @@
 import org.jboss.logging.Logger;
 
 /**
- * All jobs and targets of one service pool, and the decisions about them.
+ * The scheduler of a pool: the state of its jobs and targets, and the decisions about them.
  *
- * <p>Not safe for use by several threads. Does no I/O and reads no clock: the same events at the same moments lead to
- * the same decisions. Invariant: at most one run of a task may be on any target, unless the step allows copies.
+ * <p>Does no I/O and reads no clock, so decisions are deterministic: the same events with the same clock readings lead
+ * to the same decisions. Guarantees that at most one run of a task is active on all targets together, unless the step
+ * is speculative. Mutable and not thread-safe.
  */
 public final class Pool {
     private static final Logger LOG = Logger.getLogger(Pool.class);
 
-    /** Time after which a stop that has not worked is sent again, in milliseconds. */
+    /** Time after which a stop command is sent again if the run is still reported, in milliseconds. */
     private static final long STOP_RETRY_MILLIS = 300;
 
     private final Map<String, JobExecution> jobs = new LinkedHashMap<>();
@@ -30,19 +31,22 @@
     private final PlacementPass.Context passContext = new PlacementPass.Context(outbox, targetHealth, taskLifecycle);
     private PoolSettings settings = PoolSettings.EMPTY;
 
-    /** Replaces what operators have configured. */
+    /** Replaces the operator-defined settings. */
     public void configure(PoolSettings settings) {
         this.settings = settings;
     }
 
-    /** Takes note of a target's registration. It gets work only once a report of the same life has come. */
+    /**
+     * Adds a target or updates its registration data. The target receives work only after a report of the registered
+     * incarnation.
+     */
     public void register(TargetInfo info) {
         TargetState target = targets.computeIfAbsent(info.id(), TargetState::new);
         target.info = info;
         target.registered = true;
     }
 
-    /** Takes note that a target's registration is gone. What it runs may go on. */
+    /** Removes the registration of a target. The target receives no new work, but its active runs may continue. */
     public void unregister(String id) {
         TargetState target = targets.get(id);
         if (target == null) {
@@ -54,7 +58,7 @@
         }
     }
 
-    /** Adds a job; one that is there already is left as it is. */
+    /** Adds a job. Has no effect if the pool already has a job with this id. */
     public void submit(Job job) {
         if (jobs.putIfAbsent(job.id(), new JobExecution(job)) == null) {
             LOG.infof(
@@ -67,7 +71,10 @@
         }
     }
 
-    /** Adds a job with its durable progress. Its runs may still be there until reports tell. */
+    /**
+     * Adds a job with its persisted progress. Runs recorded in it count as active until a report or the expiry of the
+     * lease shows otherwise.
+     */
     public void restore(Job job, JobProgress progress, ClockReading now) {
         JobExecution execution = new JobExecution(job);
         execution.state = progress.state();
@@ -97,7 +104,7 @@
         }
     }
 
-    /** Cancels a job, unless it has ended. */
+    /** Cancels a job and stops its runs. Has no effect if the job is unknown or has ended. */
     public void cancel(String id, ClockReading now) {
         JobExecution job = jobs.get(id);
         if (job == null || job.state.isTerminal()) {
@@ -109,7 +116,7 @@
         LOG.infof("cancel: request=%s outcome=stopping", id);
     }
 
-    /** Takes note of what a target said. Reports of an earlier life than the newest known are ignored. */
+    /** Handles a report of a target. Ignores reports of an incarnation older than the newest known one. */
     public void handleReport(TargetReport report, ClockReading now) {
         TargetState target = targets.computeIfAbsent(report.target(), TargetState::new);
         if (report.incarnation() < target.incarnation) {
@@ -128,7 +135,10 @@
         reconcileRunning(target, report, now);
     }
 
-    /** A start may have reached a later life than it was meant for; such runs are kept. */
+    /**
+     * Accepts runs whose start reached a newer incarnation of the target than intended, so that they are not treated as
+     * lost by the restart.
+     */
     private void adoptRuns(TargetState target, TargetReport report) {
         for (TargetReport.Running run : report.running()) {
             TaskExecution task = target.tasks.get(run.task());
@@ -138,6 +148,7 @@
         }
     }
 
+    /** Compares the reported runs with the expected ones: stops stray runs and requeues tasks whose run is absent. */
     private void reconcileRunning(TargetState target, TargetReport report, ClockReading now) {
         Set<TaskId> reported = new HashSet<>();
         target.strayDemand = Resources.NONE;
@@ -186,7 +197,7 @@
             return;
         }
         task.recordProgress(run.percent(), now.monotonicNanos());
-        taskLifecycle.checkForStall(task, now);
+        taskLifecycle.checkProgress(task, now);
     }
 
     private void confirmStart(TargetState target, TaskExecution task, ClockReading now) {
@@ -196,7 +207,7 @@
         }
     }
 
-    /** Takes note that a target confirmed a start. */
+    /** Handles the confirmation of a start by the target. Ignores confirmations of runs that are no longer current. */
     public void handleStarted(TargetCommand.Start start, ClockReading now) {
         TaskExecution task = currentTask(start);
         if (task != null && task.confirmedNanos == 0) {
@@ -205,27 +216,29 @@
     }
 
     /**
-     * Takes note that a run did not start and never will.
+     * Handles the definite failure of a start: the run was not started and never will be.
      *
-     * @param avoidMillis time in which no new work goes to that target, in milliseconds
+     * @param reason reason of the failure, for the log
+     * @param exclusionMillis time during which the target receives no new work, in milliseconds; 0 for none
      */
-    public void handleStartFailure(TargetCommand.Start start, String reason, long avoidMillis, ClockReading now) {
+    public void handleStartFailure(TargetCommand.Start start, String reason, long exclusionMillis, ClockReading now) {
         TaskExecution task = currentTask(start);
         LOG.infof(
                 "start: request=%s task=%s run=%s target=%s outcome=refused reason=%s",
                 start.task().job(), start.task(), start.run(), start.target(), reason);
-        exclude(start.target(), avoidMillis, now);
+        exclude(start.target(), exclusionMillis, now);
         if (task != null) {
             taskLifecycle.requeue(task, now);
         }
     }
 
-    /** Returns the task, or null if there is none of that name. */
+    /** Returns the task, or null if it is unknown. */
     private TaskExecution findTask(TaskId id) {
         JobExecution job = jobs.get(id.job());
         return job == null ? null : job.task(id);
     }
 
+    /** Returns the task of {@code start}, or null if that start is not its newest active run. */
     private TaskExecution currentTask(TargetCommand.Start start) {
         TaskExecution task = findTask(start.task());
         boolean current = task != null
@@ -235,7 +248,7 @@
         return current ? task : null;
     }
 
-    /** Sends no new work to a target for {@code millis} milliseconds. */
+    /** Excludes a target from new work for {@code millis} milliseconds. Never shortens an exclusion. */
     public void exclude(String id, long millis, ClockReading now) {
         TargetState target = targets.get(id);
         if (target != null && millis > 0) {
@@ -243,7 +256,7 @@
         }
     }
 
-    /** Takes note that nothing sent to this target so far runs any more. */
+    /** Handles the expiry of the lease of a target: none of the runs sent to it so far is still active. */
     public void handleLeaseExpiry(String id, ClockReading now) {
         TargetState target = targets.get(id);
         if (target == null) {
@@ -257,6 +270,7 @@
         }
     }
 
+    /** Requeues the tasks of earlier incarnations, and clears the exclusion and failures of the target. */
     private void handleRestart(TargetState target, long incarnation, ClockReading now) {
         if (incarnation <= target.incarnation) {
             return;
@@ -272,23 +286,23 @@
         }
     }
 
-    /** Decides what runs next. */
+    /** Runs a scheduling pass: places waiting tasks and decides which runs to stop. */
     public void schedule(ClockReading now) {
         targets.values().forEach(target -> taskLifecycle.evictBeforeDeparture(target, now));
         new PlacementPass(passContext, jobs.values(), targets.values(), settings, now).run();
     }
 
-    /** Returns what is to be made durable now, and what depends on it. */
+    /** Returns and clears the records to persist, with the actions that are allowed once they are durable. */
     public Batch takeBatch() {
         return outbox.takeBatch();
     }
 
-    /** Returns the stops to send. */
+    /** Returns and clears the stop commands to send. */
     public List<TargetCommand.Stop> takeStops() {
         return outbox.takeStops();
     }
 
-    /** Returns the targets that may run something that was sent to them. */
+    /** Returns the ids of the targets that may have active runs. */
     public Collection<String> occupiedTargets() {
         List<String> ids = new ArrayList<>();
         for (TargetState target : targets.values()) {
@@ -299,7 +313,9 @@
         return ids;
     }
 
-    /** Returns the jobs that ended before {@code millis}, in milliseconds since 1970, with no run left. */
+    /**
+     * Returns the ids of jobs without active runs that ended before {@code millis}, in milliseconds since the epoch.
+     */
     public List<String> jobsEndedBefore(long millis) {
         List<String> ids = new ArrayList<>();
         for (JobExecution job : jobs.values()) {
@@ -312,7 +328,7 @@
         return ids;
     }
 
-    /** Drops a job that has ended. */
+    /** Removes a job that has ended. */
     public void removeJob(String id) {
         jobs.remove(id);
         targetHealth.removeJob(id);
--- a/acacia-pool/src/main/java/org/acaciaport/pool/PoolSettings.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PoolSettings.java
@@ -4,19 +4,19 @@
 import java.util.Set;
 
 /**
- * What operators have configured for the pool.
+ * The operator-defined settings of the pool.
  *
  * <p>Immutable.
  *
- * @param guarantees guaranteed accelerators of each client account
- * @param evacuatedDataCentres data centres that take no new work
- * @param services names of the services that exist
+ * @param guarantees number of guaranteed accelerators by client account
+ * @param evacuatedDataCentres data centres that accept no new work
+ * @param services names of the known services
  */
 public record PoolSettings(Map<String, Long> guarantees, Set<String> evacuatedDataCentres, Set<String> services) {
-    /** Nothing configured yet. */
+    /** Settings without any guarantee, evacuated data centre or service. */
     public static final PoolSettings EMPTY = new PoolSettings(Map.of(), Set.of(), Set.of());
 
-    /** Copies the collections. */
+    /** Creates settings with immutable copies of the collections. */
     public PoolSettings {
         guarantees = Map.copyOf(guarantees);
         evacuatedDataCentres = Set.copyOf(evacuatedDataCentres);
--- a/acacia-pool/src/main/java/org/acaciaport/pool/PreemptionPlanner.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PreemptionPlanner.java
@@ -10,27 +10,28 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses which work to stop so that a unit fits, losing as little work as it finds.
+ * A search for the victims whose end makes room for a unit at the lowest cost.
  *
- * <p>Greedy, not optimal: takes the victim with the least loss for the room it frees, then spares those that turn out
- * to be needless. A gang is stopped whole. For the pool's thread only.
+ * <p>Greedy and not optimal: repeatedly adds the victim with the lowest cost per gained slot, then drops the victims
+ * that turn out to be redundant. A gang is a victim only as a whole. Not thread-safe; confined to the thread of the
+ * pool.
  */
 final class PreemptionPlanner {
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    /** Work between two checkpoints that a stop loses at most, in seconds. */
+    /** Maximum run time lost when a task with checkpoints is stopped, in seconds: the time between two checkpoints. */
     private static final double MAX_CHECKPOINTED_LOSS_SECONDS = 0.5;
 
-    /** Usual time until stopped work runs again, in seconds. */
+    /** Typical time until a stopped task runs again, in seconds. */
     private static final double PREEMPTION_DELAY_SECONDS = 1.5;
 
-    /** How many times dearer than other work it is to stop work of the highest priority. */
+    /** Cost factor of stopping a task of the highest priority. */
     private static final int URGENT_WEIGHT = 5;
 
-    /** Keeps a victim that has only begun from counting as free, in core-seconds. */
+    /** Minimum cost of a victim, in core-seconds, so that a run that has only just started is not stopped for free. */
     private static final double MIN_LOSS_CORE_SECONDS = 1.0;
 
-    /** What room on a target that does not yet suffice for a task counts for, against a whole place. */
+    /** Gain of freed resources in proportion to the demand of one task, relative to the gain of a whole slot. */
     private static final double PARTIAL_SLOT_GAIN = 0.1;
 
     private final PlacementUnit unit;
@@ -47,27 +48,33 @@
         this.now = now;
     }
 
-    /** What makes a victim dear. */
+    /** The measure of what a victim costs. */
     enum CostModel {
-        /** Work that a stop loses. */
+        /** Work lost by stopping the victim, in core-seconds. */
         LOST_WORK,
-        /** Time until it ends by itself. */
+        /** Time until the victim ends by itself, in seconds. */
         REMAINING_TIME
     }
 
     /**
-     * What to stop and where the unit then goes.
+     * The victims and the resulting placement of the unit.
      *
-     * @param targets a target for each task
-     * @param victims tasks to stop or to unassign
-     * @param cost work that is lost, in core-seconds, or the time until the last one ends, in seconds
+     * @param targets target of each task of the unit
+     * @param victims tasks to stop or to wait for; for tasks without a run, reservations to cancel
+     * @param cost lost work of all victims, in core-seconds, or the time until the last victim ends, in seconds
      */
     record Plan(List<TargetState> targets, List<TaskExecution> victims, double cost) {}
 
-    /** A gang or a single task that may be stopped. */
+    /** A gang or a single task that may make room, with its cost. */
     private record Victim(List<TaskExecution> tasks, double cost) {}
 
-    /** Returns the choice among {@code scope}, or null if stopping all that is allowed is not enough. */
+    /**
+     * Returns a plan that places {@code unit} on {@code targets}, or null if there is none.
+     *
+     * @param targets targets to choose from
+     * @param allowed tests whether a task may be a victim
+     * @param costModel measure of the costs to keep low
+     */
     static Plan find(
             PlacementUnit unit,
             List<TargetState> targets,
@@ -100,6 +107,7 @@
         return new Plan(selectTargets(), victims, cost);
     }
 
+    /** Returns whether the unit would fit if all candidates ended. */
     private boolean sufficesIfAllStopped(List<Victim> candidates) {
         candidates.forEach(victim -> apply(victim, 1));
         boolean enough = selectTargets() != null;
@@ -159,13 +167,19 @@
         return task.demand().coreEquivalents() * costSeconds * costMultiplier(task);
     }
 
-    /** Returns how dear the loss of a task's work is; urgent work has little to spare, so a stop makes it late. */
+    /**
+     * Returns the factor for the cost of stopping a task. Tasks of the highest priority have little slack, so a stop
+     * makes them late; earlier preemptions raise the factor so that they do not always hit the same step.
+     */
     private static int costMultiplier(TaskExecution task) {
         int weight = task.job().terms().priority() == 0 ? URGENT_WEIGHT : 1;
         return weight * (1 + task.step.preemptionCount);
     }
 
-    /** Returns what the delay of a stop costs: most for a job that would still be in time without it. */
+    /**
+     * Returns the cost of the delay caused by a stop, as seconds of lost work: highest for a job that would just meet
+     * its objective without the stop, and 0 for one that misses it anyway.
+     */
     private double delayCostSeconds(TaskExecution task, double runSeconds) {
         double slackSeconds = task.step.slackMillis(now) / MILLIS_PER_SECOND + runSeconds;
         if (slackSeconds < 0) {
@@ -189,18 +203,19 @@
         return best;
     }
 
+    /** Returns the number of slots that the end of {@code victim} adds, plus a small share for partial slots. */
     private double slotGain(Victim victim) {
         Set<TargetState> affected = new HashSet<>();
         victim.tasks.forEach(task -> affected.add(task.target));
         affected.retainAll(targets);
         int before = 0;
         for (TargetState target : affected) {
-            before += Placement.slots(unit, target, freeAfterStops(target));
+            before += Placement.countSlots(unit, target, freeAfterStops(target));
         }
         apply(victim, 1);
         int after = 0;
         for (TargetState target : affected) {
-            after += Placement.slots(unit, target, freeAfterStops(target));
+            after += Placement.countSlots(unit, target, freeAfterStops(target));
         }
         apply(victim, -1);
         double partial = 0;
@@ -213,6 +228,7 @@
         return after - before + PARTIAL_SLOT_GAIN * partial;
     }
 
+    /** Adds {@code victim} to the chosen victims if {@code sign} is positive, or else removes it. */
     private void apply(Victim victim, int sign) {
         for (TaskExecution task : victim.tasks) {
             Resources demand = task.demand();
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Resources.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Resources.java
@@ -1,41 +1,42 @@
 package org.acaciaport.pool;
 
 /**
- * An amount of what a target offers and a task takes.
+ * An amount of resources that a target offers or a task demands.
  *
- * <p>Immutable. Amounts may be negative after {@link #minus}, which marks a target as over-committed.
+ * <p>Immutable. Amounts may be negative after {@link #minus}; negative free resources mean that a target is
+ * over-committed.
  *
- * @param cpuMillis processors, in thousandths of a core
+ * @param cpuMillis processor time, in thousandths of a core
  * @param memoryMb memory, in megabytes
  * @param accelerators whole accelerators
  */
 public record Resources(long cpuMillis, long memoryMb, long accelerators) {
-    /** Nothing at all. */
+    /** No resources. */
     public static final Resources NONE = new Resources(0, 0, 0);
 
-    /** Weight of one accelerator when work is expressed in cores. */
+    /** Number of cores that one accelerator counts as. */
     private static final long CORES_PER_ACCELERATOR = 8;
 
     private static final double MILLIS_PER_CORE = 1_000.0;
 
-    /** Returns the sum of both. */
+    /** Returns the sum of this and {@code other}. */
     public Resources plus(Resources other) {
         return new Resources(cpuMillis + other.cpuMillis, memoryMb + other.memoryMb, accelerators + other.accelerators);
     }
 
-    /** Returns what is left after {@code other} is taken. */
+    /** Returns the difference of this and {@code other}, which may have negative amounts. */
     public Resources minus(Resources other) {
         return new Resources(cpuMillis - other.cpuMillis, memoryMb - other.memoryMb, accelerators - other.accelerators);
     }
 
-    /** Returns whether this fits into {@code room}. */
+    /** Returns whether every amount is at most that of {@code available}. */
     public boolean fitsIn(Resources available) {
         return cpuMillis <= available.cpuMillis
                 && memoryMb <= available.memoryMb
                 && accelerators <= available.accelerators;
     }
 
-    /** Returns how many times this fits into {@code room}, at most {@code most}. */
+    /** Returns how many times this fits into {@code available}, at most {@code max}. */
     public int countFitting(Resources available, int max) {
         long times = max;
         if (cpuMillis > 0) {
@@ -50,7 +51,7 @@
         return fitsIn(available) ? (int) Math.max(0, times) : 0;
     }
 
-    /** Returns this as a number of cores, an accelerator counting as {@value #CORES_PER_ACCELERATOR}. */
+    /** Returns the equivalent number of cores, counting each accelerator as {@value #CORES_PER_ACCELERATOR} cores. */
     public double coreEquivalents() {
         return cpuMillis / MILLIS_PER_CORE + accelerators * CORES_PER_ACCELERATOR;
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Step.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Step.java
@@ -3,61 +3,61 @@
 import java.util.List;
 
 /**
- * One step of a job: equal tasks that may run once the steps before it are done.
+ * A step of a job: identical tasks that may run once the steps they depend on are done.
  *
  * <p>Immutable.
  *
  * @param count number of tasks
- * @param demand what each task takes
- * @param estimateMillis rough duration of a task, in milliseconds
- * @param after numbers of earlier steps that must be done first
- * @param constraints where the tasks may run
- * @param mode how the tasks run
+ * @param demand resources that each task needs
+ * @param estimateMillis estimated duration of a task, in milliseconds
+ * @param after indices of the earlier steps that this step depends on
+ * @param constraints placement constraints of the tasks
+ * @param mode execution mode of the tasks
  */
 public record Step(
         int count, Resources demand, long estimateMillis, List<Integer> after, Constraints constraints, Mode mode) {
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    /** Copies the list. */
+    /** Creates a step with an immutable copy of {@code after}. */
     public Step {
         after = List.copyOf(after);
     }
 
     /**
-     * Where the tasks of a step may run.
+     * The placement constraints of a step.
      *
-     * @param label label that a target must have; empty for any
-     * @param nearRack rack that holds the data; empty for any
-     * @param spreadLimit most tasks of the step on one target; 0 for no limit
-     * @param tight whether tasks on more than one rack slow each other down
+     * @param label label that a target must have; empty for no restriction
+     * @param nearRack preferred rack, which holds the data; empty for no preference
+     * @param spreadLimit maximum number of tasks of the step on one target; 0 for no limit
+     * @param tight whether the tasks run slower if they are spread over several racks
      */
     public record Constraints(String label, String nearRack, int spreadLimit, boolean tight) {
-        /** No constraint at all. */
+        /** No constraints. */
         public static final Constraints NONE = new Constraints("", "", 0, false);
     }
 
     /**
-     * How the tasks of a step run.
+     * The execution mode of a step.
      *
-     * @param gang whether they work only together
-     * @param checkpoint whether they save their progress
-     * @param speculative whether copies may run at the same time
-     * @param lasting whether they run until the job is cancelled
-     * @param filling whether they use only processors that other tasks leave idle
-     * @param mayMiss for lasting tasks, how many the scheduler may have away at once
+     * @param gang whether the tasks make progress only if all of them run at the same time
+     * @param checkpoint whether the tasks write checkpoints that a later run can resume from
+     * @param speculative whether several runs of a task may be active at the same time
+     * @param lasting whether the tasks run until the job is cancelled
+     * @param filling whether the tasks use only processor time that other tasks leave idle
+     * @param mayMiss for lasting tasks, the maximum number that the scheduler may interrupt at the same time
      */
     public record Mode(
             boolean gang, boolean checkpoint, boolean speculative, boolean lasting, boolean filling, int mayMiss) {
-        /** Independent tasks that save nothing. */
+        /** Independent tasks without checkpoints. */
         public static final Mode PLAIN = new Mode(false, false, false, false, false, 0);
     }
 
-    /** Returns the rough duration of a task, in seconds. */
+    /** Returns the estimated duration of a task, in seconds. */
     double estimateSeconds() {
         return estimateMillis / MILLIS_PER_SECOND;
     }
 
-    /** Returns what one task takes from a target's capacity. */
+    /** Returns the resources that each task occupies on its target; filling tasks occupy no processors. */
     public Resources chargedResources() {
         return mode.filling() ? new Resources(0, demand.memoryMb(), demand.accelerators()) : demand;
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/StepExecution.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/StepExecution.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * One step of one occurrence as the pool sees it.
+ * The execution state of one step of one occurrence.
  *
- * <p>Mutable, for the pool's thread only.
+ * <p>Mutable and not thread-safe; confined to the thread of the pool.
  */
 final class StepExecution {
     final JobExecution job;
@@ -16,22 +16,25 @@
     final List<TaskExecution> tasks = new ArrayList<>();
     int doneTaskCount;
 
-    /** Newest run of a gang that failed; several members may report the same failure. */
+    /** Number of the newest failed run of a gang, so that a failure reported by several members counts once. */
     int lastFailedRun;
 
-    /** Whether a run of it was moved off a slow target already; estimates may be wrong, so that is done once. */
+    /** Whether a straggler of this step was handled already; done only once, as the estimate may be wrong. */
     boolean stragglerHandled;
 
-    /** How often runs of it were stopped in favour of other work; each time makes the next dearer. */
+    /** Number of preemptions of this step; each makes the next one more expensive. */
     int preemptionCount;
 
-    /** When running work is searched again for room, on the steady clock, in nanoseconds; a search costs much. */
+    /** Monotonic clock reading of the next search among running tasks, in nanoseconds; the search is expensive. */
     long nextSearchNanos;
 
-    /** Until when an urgent unit keeps room that other work still takes, on the steady clock, in nanoseconds. */
+    /**
+     * Monotonic clock reading, in nanoseconds, until which a unit of the highest priority keeps a reservation whose
+     * resources are still in use.
+     */
     long reservationExpiresNanos;
 
-    /** When its tasks' turn came, on the steady clock, in nanoseconds; 0 before. */
+    /** Monotonic clock reading at which the step became ready to run, in nanoseconds; 0 until then. */
     long readyNanos;
 
     StepExecution(JobExecution job, int occurrence, int number) {
@@ -44,7 +47,7 @@
         }
     }
 
-    /** Returns whether {@code task} runs away from its data, or from the rest of a gang that should be on one rack. */
+    /** Returns whether {@code task} runs on another rack than its data, or than a task of the same tight step. */
     boolean lacksLocality(TaskExecution task) {
         String near = spec.constraints().nearRack();
         if (!near.isEmpty() && !near.equals(task.target.rack())) {
@@ -61,7 +64,7 @@
         return false;
     }
 
-    /** Returns how long its occurrence can wait and still be done within its objective, in milliseconds. */
+    /** Returns how long the occurrence can wait and still complete within its objective, in milliseconds. */
     long slackMillis(ClockReading now) {
         return job.objective.slackMillis(occurrence, now.wallClockMillis());
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetCommand.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetCommand.java
@@ -1,28 +1,28 @@
 package org.acaciaport.pool;
 
-/** What a target is told. */
+/** A command to a target about one run of a task. */
 public sealed interface TargetCommand {
-    /** Returns the target. */
+    /** Returns the id of the target. */
     String target();
 
-    /** Returns the life of the target that is meant. */
+    /** Returns the incarnation of the target that the command is meant for. */
     long incarnation();
 
     /** Returns the task. */
     TaskId task();
 
-    /** Returns the number of the start. */
+    /** Returns the run number of the task. */
     int run();
 
     /**
-     * Starts a run. Sent only once the record that names it is durable.
+     * Command to start a run. Sent only once the record of the run is durable.
      *
-     * @param payload text for the task
-     * @param checkpoint checkpoint to go on from; empty for none
+     * @param payload text passed to the task
+     * @param checkpoint checkpoint to resume from; empty if there is none
      */
     record Start(String target, long incarnation, TaskId task, int run, String payload, String checkpoint)
             implements TargetCommand {}
 
-    /** Stops a run, and bars it if it has not begun. */
+    /** Command to stop a run, or to reject its start if that has not arrived yet. */
     record Stop(String target, long incarnation, TaskId task, int run) implements TargetCommand {}
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetHealth.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetHealth.java
@@ -7,22 +7,23 @@
 import java.util.Set;
 
 /**
- * Judges targets by how work ends there, since a sick target may still report itself healthy.
+ * Detects faulty targets by the outcome of their runs, since a faulty target may still report itself healthy.
  *
- * <p>Mutable, for the pool's thread only. A job that fails on several targets says nothing about them.
+ * <p>A job that fails on several targets is assumed to be the cause itself, so further failures of it are not counted
+ * against targets. Mutable and not thread-safe; confined to the thread of the pool.
  */
 final class TargetHealth {
-    /** Failures of different jobs without a success between them that make a target suspect. */
+    /** Failures of different jobs, without a success in between, after which a target is excluded. */
     private static final int EXCLUSION_SCORE = 2;
 
-    /** First time without new work, in milliseconds; doubled with each further strike. */
+    /** Duration of the first exclusion, in milliseconds; doubled with each further point of the failure score. */
     private static final long INITIAL_EXCLUSION_MILLIS = 2_000;
 
     private static final int MAX_DOUBLINGS = 3;
 
     private final Map<String, Set<String>> failedTargetsByJob = new HashMap<>();
 
-    /** Takes note that a run of {@code job} failed on {@code target}. */
+    /** Records that a run of {@code job} failed on {@code target}. */
     void recordFailure(String job, TargetState target, ClockReading now) {
         Set<String> failedTargets = failedTargetsByJob.computeIfAbsent(job, id -> new HashSet<>());
         boolean failedElsewhere = !failedTargets.isEmpty() && !failedTargets.equals(Set.of(target.id));
@@ -34,7 +35,7 @@
         addToScore(target, now, 1);
     }
 
-    /** Takes note that a run stood still on {@code target}. */
+    /** Records that a run stalled or straggled on {@code target}, and excludes the target at once. */
     void recordStall(TargetState target, ClockReading now) {
         addToScore(target, now, EXCLUSION_SCORE);
     }
@@ -48,18 +49,21 @@
         exclude(target, now.nanosAfter(INITIAL_EXCLUSION_MILLIS << doublings));
     }
 
-    /** Sends no new work to {@code target} until the given reading of the steady clock. */
+    /** Excludes {@code target} from new work until the given monotonic clock reading, in nanoseconds. */
     static void exclude(TargetState target, long untilNanos) {
         target.excludedUntilNanos = Math.max(target.excludedUntilNanos, untilNanos);
     }
 
-    /** Takes note that a run finished on {@code target}. */
+    /** Records that a run completed on {@code target}. */
     void recordSuccess(TargetState target) {
         target.failureScore = 0;
         target.lastFailedJob = "";
     }
 
-    /** Returns whether a run of {@code job} failed on {@code target} and the job has other targets to try. */
+    /**
+     * Returns whether {@code job} must not run on {@code target} because it failed there. A job that failed on as many
+     * targets as there are is not excluded from any.
+     */
     boolean isExcludedForJob(String job, TargetState target, Collection<TargetState> all) {
         Set<String> failedTargets = failedTargetsByJob.get(job);
         return failedTargets != null && failedTargets.contains(target.id) && failedTargets.size() < all.size();
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetInfo.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetInfo.java
@@ -3,20 +3,21 @@
 import java.util.Set;
 
 /**
- * What is known of a target from its registration.
+ * The registration data of a target.
  *
  * <p>Immutable.
  *
- * @param id its name
- * @param service the service whose tasks it runs
- * @param address host and port
- * @param dataCentre its data centre
- * @param rack its rack; empty if unknown
- * @param labels its labels, the rack included
- * @param capacity what it offers
- * @param draining whether it is leaving and takes no new work
- * @param departureNanos while it drains, a reading of the steady clock before which it does not leave; 0 if unknown
- * @param incarnation number of its current life, in milliseconds since 1970
+ * @param id unique name of the target
+ * @param service service whose tasks the target runs
+ * @param address host and port of the target
+ * @param dataCentre data centre of the target
+ * @param rack rack of the target; empty if unknown
+ * @param labels labels for placement constraints, including the rack
+ * @param capacity total resources of the target
+ * @param draining whether the target is shutting down and accepts no new work
+ * @param departureNanos for a draining target, the monotonic clock reading before which it does not shut down; 0 if
+ *     unknown
+ * @param incarnation incarnation number, which grows with each restart: start time in milliseconds since the epoch
  */
 public record TargetInfo(
         String id,
@@ -29,7 +30,7 @@
         boolean draining,
         long departureNanos,
         long incarnation) {
-    /** Copies the set. */
+    /** Creates registration data with an immutable copy of {@code labels}. */
     public TargetInfo {
         labels = Set.copyOf(labels);
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetReport.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetReport.java
@@ -3,58 +3,58 @@
 import java.util.List;
 
 /**
- * What a target said of its runs.
+ * A report of a target about its runs.
  *
  * <p>Immutable.
  *
- * @param target its id
- * @param incarnation its current life
- * @param requestNanos reading of the steady clock before the question was sent
- * @param running runs that are there
- * @param ended ends that were not yet acknowledged, in order
+ * @param target id of the reporting target
+ * @param incarnation current incarnation of the target
+ * @param requestNanos monotonic clock reading taken before the report was requested
+ * @param running runs in progress
+ * @param ended ended runs that were not yet acknowledged, in ascending order of their numbers
  */
 public record TargetReport(
         String target, long incarnation, long requestNanos, List<Running> running, List<Ended> ended) {
-    /** Copies the lists. */
+    /** Creates a report with immutable copies of the lists. */
     public TargetReport {
         running = List.copyOf(running);
         ended = List.copyOf(ended);
     }
 
     /**
-     * A run that is there.
+     * A run in progress.
      *
      * @param task the task
-     * @param run number of the start
+     * @param run run number of the task
      * @param checkpoint newest checkpoint; empty if there is none
-     * @param percent how much of its work is done, 0 to 100
+     * @param percent completed share of the work, from 0 to 100
      */
     public record Running(TaskId task, int run, String checkpoint, int percent) {}
 
     /**
-     * A run that is over.
+     * A run that has ended.
      *
-     * @param number position in the target's list of ends, from 1
+     * @param number sequence number of the end within the incarnation of the target, from 1
      * @param task the task
-     * @param run number of the start
-     * @param reason how it ended
-     * @param checkpoint checkpoint to go on from; empty if there is none
+     * @param run run number of the task
+     * @param reason why the run ended
+     * @param checkpoint checkpoint to resume from; empty if there is none
      */
     public record Ended(long number, TaskId task, int run, EndReason reason, String checkpoint) {}
 
-    /** How a run ended. */
+    /** Why a run ended. */
     public enum EndReason {
-        /** It finished its work. */
+        /** The run completed its work. */
         DONE,
-        /** It failed. */
+        /** The run failed. */
         FAILED,
-        /** It was stopped by an order. */
+        /** The run was stopped by a command. */
         STOPPED,
-        /** Its lease expired. */
+        /** The lease of the run expired. */
         LAPSED,
-        /** Another member of its gang ended. */
+        /** Another member of the gang ended. */
         BROKEN,
-        /** The other members of its gang did not come. */
+        /** The other members of the gang did not start in time. */
         ALONE
     }
 }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetState.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetState.java
@@ -4,33 +4,33 @@
 import java.util.Map;
 
 /**
- * One target with the work on it.
+ * The state of one target and of the tasks placed on it.
  *
- * <p>Mutable, for the pool's thread only. {@code occupants} holds the tasks in phases ASSIGNED, STARTING, RUNNING and
- * STOPPING whose {@code target} is this one.
+ * <p>Mutable and not thread-safe; confined to the thread of the pool. {@code tasks} holds exactly the tasks whose
+ * {@code target} is this one; they are in phase RESERVED, STARTING, RUNNING or STOPPING.
  */
 final class TargetState {
     final String id;
 
-    /** The newest registration; null before the first. */
+    /** Newest registration data; null before the first registration. */
     TargetInfo info;
 
-    /** Whether the registration is there now. */
+    /** Whether the target is currently registered. */
     boolean registered;
 
-    /** Life that the occupants belong to; 0 before it is known. */
+    /** Newest incarnation that the target reported; 0 before the first report. */
     long incarnation;
 
-    /** Room taken by runs that are there without being any task's newest run. */
+    /** Resources used by stray runs: reported runs that are not the newest run of their task on this target. */
     Resources strayDemand = Resources.NONE;
 
-    /** Until when no new work goes there, on the steady clock, in nanoseconds. */
+    /** Monotonic clock reading until which the target accepts no new work, in nanoseconds. */
     long excludedUntilNanos;
 
-    /** Failures in a row, each of another job. */
+    /** Failures of different jobs since the last success; a stall counts as several failures. */
     int failureScore;
 
-    /** The job that failed there last. */
+    /** Id of the job whose failure was counted last; empty if there is none. */
     String lastFailedJob = "";
 
     final Map<TaskId, TaskExecution> tasks = new LinkedHashMap<>();
@@ -47,12 +47,12 @@
         return info == null ? "" : info.rack();
     }
 
-    /** Returns the room that is free now. */
+    /** Returns the resources that are free now; negative amounts if the target is over-committed. */
     Resources freeNow() {
         return capacity().minus(used).minus(strayDemand);
     }
 
-    /** Returns the room that will be free once the stops have worked and the promised runs are there. */
+    /** Returns the resources that will be free once all pending stops are done and all reserved runs have started. */
     Resources projectedFree() {
         return freeNow().plus(stopping).minus(reserved);
     }
@@ -61,7 +61,7 @@
         return info == null ? Resources.NONE : info.capacity();
     }
 
-    /** Puts {@code task} here in {@code phase}, or moves it to another phase. */
+    /** Places {@code task} on this target in {@code phase}, or moves a task on this target to {@code phase}. */
     void put(TaskExecution task, Phase phase) {
         if (task.target == this) {
             adjustUsage(task, -1);
@@ -72,7 +72,7 @@
         adjustUsage(task, 1);
     }
 
-    /** Takes {@code task} off and leaves it in {@code phase}. */
+    /** Removes {@code task} from this target and sets its phase to {@code phase}. */
     void remove(TaskExecution task, Phase phase) {
         adjustUsage(task, -1);
         tasks.remove(task.id);
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TaskExecution.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TaskExecution.java
@@ -1,52 +1,61 @@
 package org.acaciaport.pool;
 
 /**
- * One task as the pool sees it.
+ * The execution state of one task.
  *
- * <p>Mutable, for the pool's thread only. {@code target} is null exactly in the phases WAITING and DONE.
+ * <p>Mutable and not thread-safe; confined to the thread of the pool. {@code target} is null exactly in the phases
+ * WAITING and DONE.
  */
 final class TaskExecution {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final int COMPLETE_PERCENT = 100;
 
-    /** Time after which a run's rate is judged, in seconds. */
+    /** Minimum run time before the progress rate of a run is evaluated, in seconds. */
     private static final double MIN_OBSERVATION_SECONDS = 0.8;
 
-    /** How many times its estimate a run may take; estimates are rough. */
+    /** Multiple of its estimated duration beyond which a run is a straggler; large because estimates are rough. */
     private static final double STRAGGLER_FACTOR = 3.0;
 
-    /** Usual time between the stop of a run and the start of the next, in seconds. */
+    /** Typical time between stopping a run and starting the next one, in seconds. */
     private static final double RESTART_DELAY_SECONDS = 0.5;
 
-    /** Progress from which on a run's own rate is used, in percent. */
+    /** Minimum observed progress for predicting the end of a run from its own rate, in percent. */
     private static final int MIN_RATE_SAMPLE_PERCENT = 5;
 
     final TaskId id;
     final StepExecution step;
     Phase phase = Phase.WAITING;
+
+    /** Run number of the newest run; 0 before the first. */
     int lastRun;
+
+    /** Number of failed runs; for a gang, counted on its first task. */
     int failures;
+
+    /** Newest checkpoint; empty if there is none. */
     String checkpoint = "";
+
     TargetState target;
 
-    /** Life of the target that the run was sent to. */
+    /** Incarnation of the target that the newest run was sent to. */
     long incarnation;
 
-    /** When the newest run was confirmed, on the steady clock, in nanoseconds. */
+    /** Monotonic clock reading at the confirmation of the newest run, in nanoseconds; 0 while it is unconfirmed. */
     long confirmedNanos;
 
-    /** When the newest stop was sent, on the steady clock, in nanoseconds. */
+    /** Monotonic clock reading at the newest stop command, in nanoseconds. */
     long stopSentNanos;
 
+    /** Reported progress of the newest run, from 0 to 100. */
     int percent;
 
-    /** First percentage that is known of the newest run; negative before. */
+    /** First known progress of the newest run, from 0 to 100; negative until it is known. */
     int firstPercent = -1;
 
-    /** When {@code firstPercent} was reported, on the steady clock, in nanoseconds. */
+    /** Monotonic clock reading at the report of {@code firstPercent}, in nanoseconds. */
     long firstPercentNanos;
 
-    /** When {@code percent} last rose, on the steady clock, in nanoseconds. */
+    /** Monotonic clock reading at the last change of {@code percent}, in nanoseconds. */
     long lastProgressNanos;
 
     TaskExecution(TaskId id, StepExecution step) {
@@ -54,7 +63,7 @@
         this.step = step;
     }
 
-    /** Takes note that the newest run is there. One that resumes saved progress begins at an unknown percentage. */
+    /** Records that the newest run has started. The initial progress of a run that resumes a checkpoint is unknown. */
     void confirmRun(long nowNanos) {
         confirmedNanos = nowNanos;
         lastProgressNanos = nowNanos;
@@ -63,7 +72,7 @@
         firstPercentNanos = nowNanos;
     }
 
-    /** Takes note of how far the newest run is. */
+    /** Records the reported progress of the newest run. */
     void recordProgress(int reportedPercent, long nowNanos) {
         if (firstPercent < 0) {
             firstPercent = reportedPercent;
@@ -75,7 +84,7 @@
         }
     }
 
-    /** Returns whether the newest run is much slower than estimated, once its rate is known. */
+    /** Returns whether the newest run is known to be much slower than estimated; false until its rate is known. */
     boolean isStraggler(ClockReading now) {
         boolean observed = now.secondsSince(confirmedNanos) >= MIN_OBSERVATION_SECONDS;
         if (gainedPercent() < 1 || !observed || step.lacksLocality(this)) {
@@ -85,8 +94,8 @@
     }
 
     /**
-     * Returns whether a slow run would probably end sooner on another target. Either the target or the estimate may be
-     * the cause, so a run elsewhere is taken to last half-way between the estimate and this run.
+     * Returns whether a slow run would probably end sooner on another target. Either a slow target or a low estimate
+     * may be the cause, so the duration elsewhere is taken as the mean of the estimate and the projection of this run.
      */
     boolean wouldEndSoonerElsewhere() {
         double restartedSeconds = (step.spec.estimateSeconds() + projectedRunSeconds()) / 2;
@@ -95,12 +104,15 @@
         return remaining > restartedSeconds * (1 - savedFraction) + RESTART_DELAY_SECONDS;
     }
 
-    /** Returns how long the whole of the newest run would take at its rate so far, in seconds. */
+    /** Returns the total duration of the newest run at its observed rate, in seconds. */
     private double projectedRunSeconds() {
         return COMPLETE_PERCENT * secondsPerPercent();
     }
 
-    /** Returns the time that the newest run still needs, in seconds, by its rate or else by the estimate. */
+    /**
+     * Returns the predicted time until the newest run completes, in seconds. Uses the observed rate of the run, or the
+     * estimate of its step while too little progress was observed.
+     */
     double remainingSeconds(ClockReading now) {
         if (gainedPercent() < MIN_RATE_SAMPLE_PERCENT) {
             return Math.max(0, step.spec.estimateSeconds() - now.secondsSince(confirmedNanos));
@@ -109,7 +121,7 @@
         return Math.max(0, remaining - now.secondsSince(lastProgressNanos));
     }
 
-    /** Returns the progress of the newest run since its first report, in percent; 0 before. */
+    /** Returns the progress of the newest run since {@code firstPercent}, in percent; 0 while that is unknown. */
     private int gainedPercent() {
         return firstPercent < 0 ? 0 : percent - firstPercent;
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TaskId.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TaskId.java
@@ -1,14 +1,14 @@
 package org.acaciaport.pool;
 
 /**
- * Names one task.
+ * The identity of a task.
  *
  * <p>Immutable.
  *
- * @param job id of its job
- * @param occurrence which run of a recurring job, from 0
- * @param step number of its step, from 0
- * @param index its number in the step, from 0
+ * @param job id of the job
+ * @param occurrence index of the occurrence of a recurring job, from 0
+ * @param step index of the step in the job, from 0
+ * @param index index of the task in the step, from 0
  */
 public record TaskId(String job, int occurrence, int step, int index) {
     @Override
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TaskLifecycle.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TaskLifecycle.java
@@ -4,22 +4,22 @@
 import org.jboss.logging.Logger;
 
 /**
- * What the end of a run means for its task, its gang and its job.
+ * The state transitions of tasks when runs end or have to be stopped, and their effect on the gang and the job.
  *
- * <p>For the pool's thread only.
+ * <p>Not thread-safe; confined to the thread of the pool.
  */
 final class TaskLifecycle {
     private static final Logger LOG = Logger.getLogger(TaskLifecycle.class);
 
-    /** Time without progress after which a run counts as stuck, in milliseconds. */
+    /** Constant part of the time without progress after which a run counts as stalled, in milliseconds. */
     private static final long STALL_TIMEOUT_MILLIS = 2_500;
 
-    /** Part of a task's estimated duration that is added to {@link #STUCK_MILLIS}. */
+    /** Fraction of the estimated duration of a task that is added to {@link #STALL_TIMEOUT_MILLIS}. */
     private static final double STALL_TIMEOUT_ESTIMATE_FRACTION = 0.1;
 
     private static final int COMPLETE_PERCENT = 100;
 
-    /** Time before a target leaves at which its unfinished work is stopped, in seconds; enough for the stop. */
+    /** Time before the departure of a target at which its tasks are evicted, in seconds; long enough to stop a run. */
     private static final double EVICTION_LEAD_SECONDS = 0.8;
 
     private final Outbox outbox;
@@ -30,7 +30,10 @@
         this.targetHealth = targetHealth;
     }
 
-    /** Takes note of an end that {@code target} lists. Ends of older runs, or of a null task, change nothing. */
+    /**
+     * Handles the end of a run that {@code target} reported. Has no effect if {@code task} is null or has a newer run.
+     * A successful end counts even if the task was already taken off its target.
+     */
     void handleEnd(TaskExecution task, TargetState target, TargetReport.Ended end, ClockReading now) {
         boolean current =
                 task != null && task.lastRun == end.run() && task.phase.mayOccupyTarget() && task.target == target;
@@ -58,7 +61,7 @@
         }
     }
 
-    /** Keeps a checkpoint; one member's is good for its whole gang. */
+    /** Saves a checkpoint of the task; the checkpoint of one gang member applies to the whole gang. */
     void saveCheckpoint(TaskExecution task, String checkpoint) {
         if (!task.step.spec.mode().gang()) {
             task.checkpoint = checkpoint;
@@ -121,7 +124,7 @@
         }
     }
 
-    /** Takes the run off its target; the task waits again, and the rest of its gang stops. */
+    /** Returns a task whose run has ended to the waiting phase, and stops the rest of its gang. */
     void requeue(TaskExecution task, ClockReading now) {
         boolean wasSent = task.phase.mayOccupyTarget();
         detach(task, Phase.WAITING);
@@ -136,13 +139,13 @@
         }
     }
 
-    /** Stops every run of {@code job} and gives back what it was promised. */
+    /** Stops all runs of {@code job} and cancels its reservations. */
     void stopAll(JobExecution job, ClockReading now) {
         targetHealth.removeJob(job.spec.id());
         job.tasks().forEach(task -> releaseOrStop(task, now));
     }
 
-    /** Gives back what the task was promised, or stops its run unless that was done. */
+    /** Cancels the reservation of the task, or stops its run if it is not stopping yet. */
     private void releaseOrStop(TaskExecution task, ClockReading now) {
         if (task.phase == Phase.RESERVED) {
             cancelReservation(task);
@@ -151,20 +154,20 @@
         }
     }
 
-    /** Gives back the place that the task was promised; it waits again. */
+    /** Returns a reserved task to the waiting phase. */
     void cancelReservation(TaskExecution task) {
         detach(task, Phase.WAITING);
     }
 
-    /** Tells the target to stop the task's run. */
+    /** Sends a stop command for the newest run of the task. */
     void stop(TaskExecution task, ClockReading now) {
         task.stopSentNanos = now.monotonicNanos();
         task.target.put(task, Phase.STOPPING);
         outbox.addStop(task.target.id, task.incarnation, task.id, task.lastRun);
     }
 
-    /** Stops a run that makes no progress, so that it goes on elsewhere. */
-    void checkForStall(TaskExecution task, ClockReading now) {
+    /** Stops a run that stalls, so that the task continues on another target; handles the first straggler of a step. */
+    void checkProgress(TaskExecution task, ClockReading now) {
         Step step = task.step.spec;
         if (step.mode().lasting() || step.mode().filling() || task.percent >= COMPLETE_PERCENT) {
             return;
@@ -185,7 +188,10 @@
         stop(task, now);
     }
 
-    /** A slow target gets no new work for a while; urgent work, and work that saves its progress, goes on elsewhere. */
+    /**
+     * Excludes the target of a straggler from new work for some time. The task moves to another target if it would end
+     * sooner there and has the highest priority or checkpoints.
+     */
     private void handleStraggler(TaskExecution task, ClockReading now) {
         boolean mayMigrate =
                 task.job().terms().priority() == 0 || task.step.spec.mode().checkpoint();
@@ -200,8 +206,8 @@
     }
 
     /**
-     * Stops work on a target that is about to leave, if it would not be done in time and saves its progress: it goes on
-     * elsewhere from there instead of being lost.
+     * Stops the tasks with checkpoints on a draining target that would not complete before its departure. They resume
+     * from their checkpoints on another target instead of being lost.
      */
     void evictBeforeDeparture(TargetState target, ClockReading now) {
         if (target.info == null || !target.info.draining() || target.info.departureNanos() == 0) {
@@ -223,6 +229,7 @@
         }
     }
 
+    /** Removes the task from its target, if it has one, and sets its phase to {@code phase}. */
     private void detach(TaskExecution task, Phase phase) {
         if (task.target != null) {
             task.target.remove(task, phase);
--- a/acacia-pool/src/main/java/org/acaciaport/pool/UnitStarter.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/UnitStarter.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Starts work whose promised room is free, gangs whole.
+ * Starts reserved units once the reserved resources are free. A gang starts as a whole.
  *
- * <p>Made anew for each pass; for the pool's thread only.
+ * <p>Created anew for each pass. Not thread-safe; confined to the thread of the pool.
  */
 final class UnitStarter {
     private final PlacementPass.Context context;
@@ -21,7 +21,7 @@
         this.now = now;
     }
 
-    /** Starts every unit that has all the room it was promised. */
+    /** Starts every unit whose reserved resources are all free. */
     void startReserved(Collection<JobExecution> jobs) {
         for (JobExecution job : jobs) {
             if (job.state.isTerminal()) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** A unit of the highest priority whose room does not come free chooses anew. */
+    /** Cancels an expired reservation of a unit of the highest priority, so that the next pass chooses anew. */
     private void cancelExpiredReservation(PlacementUnit unit) {
         if (unit.priority() != 0 || now.monotonicNanos() - unit.step().reservationExpiresNanos < 0) {
             return;
--- a/acacia-pool/src/main/java/org/acaciaport/pool/package-info.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Decides where the tasks of jobs with several steps run, without I/O.
+ * Scheduling of the tasks of multi-step jobs on targets, free of I/O.
  *
- * <p>Start with {@link org.acaciaport.pool.Pool}: events go in, batches of durable records and orders come out.
+ * <p>The entry point is {@link org.acaciaport.pool.Pool}: events go in; batches of records to persist and commands to
+ * targets come out.
  */
 package org.acaciaport.pool;
--- a/acacia-pool/src/test/java/org/acaciaport/pool/DegradedTargetTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/DegradedTargetTest.java
@@ -4,24 +4,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Work on targets that are slow, stand still or are about to leave. */
+/** Tests of tasks on targets that are slow, stalled or draining. */
 final class DegradedTargetTest {
     private final PoolFixture fixture = new PoolFixture();
 
     @Test
-    void nothingStartsOnATargetThatDrains() {
+    void nothingStartsOnADrainingTarget() {
         fixture.addTarget("t1", "r1");
         fixture.drainTarget("t1", "r1", 0);
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 1)));
         assertThat(fixture.starts).isEmpty();
     }
 
-    /** Pattern: targets leave with short notice. Work that saves its progress used to run until it was lost. */
+    /** Guards against tasks with checkpoints that run until a target departs at short notice and are lost. */
     @Test
-    void workThatSavesIsMovedOffATargetBeforeItLeaves() {
+    void tasksWithCheckpointsAreEvictedBeforeDeparture() {
         fixture.addTarget("t1", "r1");
-        Step.Mode saving = new Step.Mode(false, true, false, false, false, 0);
-        fixture.submit(fixture.job("a", "x", 1, PoolFixture.step(1, 8, saving, false)));
+        Step.Mode checkpointMode = new Step.Mode(false, true, false, false, false, 0);
+        fixture.submit(fixture.job("a", "x", 1, PoolFixture.step(1, 8, checkpointMode, false)));
         fixture.submit(fixture.job("b", "x", 1, PoolFixture.independentTasks(1, 8)));
         fixture.addTarget("t2", "r1");
         fixture.schedulePass();
@@ -34,9 +34,9 @@
         assertThat(fixture.stops.get(0).task().job()).isEqualTo("a");
     }
 
-    /** Pattern: some targets turn several times slower. Urgent work used to stay there until it was late. */
+    /** Guards against urgent tasks that stay on a target that has become several times slower until they are late. */
     @Test
-    void urgentWorkLeavesATargetThatIsMuchSlowerThanEstimatedOnce() {
+    void anUrgentStragglerMigratesOnce() {
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("a", "x", 0, PoolFixture.independentTasks(1, 8)));
         fixture.addTarget("t2", "r1");
@@ -48,9 +48,9 @@
         assertThat(fixture.stops).isEmpty();
     }
 
-    /** Pattern: a calm day with an estimate far too low. A run past its middle is moved off a sound target. */
+    /** Guards against moving a run that is more than half done off a healthy target because its estimate is too low. */
     @Test
-    void aRunThatWouldEndSoonerHereThanAnewIsLeft() {
+    void aStragglerStaysIfARestartWouldTakeLonger() {
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("a", "x", 0, PoolFixture.independentTasks(1, 8)));
         fixture.addTarget("t2", "r1");
@@ -62,9 +62,9 @@
         assertThat(fixture.stops).isEmpty();
     }
 
-    /** Pattern: slow targets. A run that began from nothing has a rate after one report; it used to take two. */
+    /** Guards against late detection: the rate of a run that started without a checkpoint is known after one report. */
     @Test
-    void aSlowRunIsKnownByItsFirstReport() {
+    void aStragglerIsDetectedByItsFirstReport() {
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("a", "x", 0, PoolFixture.independentTasks(1, 8)));
         fixture.addTarget("t2", "r1");
@@ -74,7 +74,9 @@
         assertThat(fixture.stops).hasSize(1);
     }
 
-    /** The newest run gains two percent each half second, so it takes five times its estimate. */
+    /**
+     * Reports progress of two percent each half second for the newest run, which then takes five times its estimate.
+     */
     private void reportSlowProgress(int reports) {
         TargetCommand.Start start = fixture.starts.get(fixture.starts.size() - 1);
         for (int i = 1; i <= reports; i++) {
@@ -85,7 +87,7 @@
     }
 
     @Test
-    void aRunWithoutProgressGoesOnElsewhere() {
+    void aStalledRunMovesToAnotherTarget() {
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8)));
         fixture.addTarget("t2", "r1");
--- a/acacia-pool/src/test/java/org/acaciaport/pool/Deployments.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/Deployments.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Deployments like those that the product was made for, with the work that comes there. */
+/** Simulated deployments with the typical load of the users. */
 final class Deployments {
     private static final int[] SINGLE_ACCELERATOR = {1};
     private static final int[] MIXED_ACCELERATORS = {1, 2, 4, 8, 8};
 
-    /** Rendering of plaques: short urgent previews, long proofs as gangs, wide batches of small tasks. */
+    /** Rendering of plaques: short urgent previews, long gangs for proofs, batches of many small tasks. */
     static final PoolSimulation.Deployment RENDERING = new PoolSimulation.Deployment(
             33,
             8,
@@ -18,7 +18,7 @@
                     batches("batch", 0.34, 16, 7.6, 3, 5_000)),
             0.62);
 
-    /** Matching of bookings: urgent matches, rosters as gangs, wide preparation of captions. */
+    /** Matching of bookings: urgent matches, gangs for rosters, batches of many tasks for captions. */
     static final PoolSimulation.Deployment BOOKING = new PoolSimulation.Deployment(
             32,
             6,
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 
 /**
- * A pool with targets of 8 accelerators and 32 cores in virtual time. What the pool wants is made durable at once; the
- * targets do as told, and tests say when runs end.
+ * A pool in virtual time with targets of 8 accelerators and 32 cores. Batches are persisted at once, and targets
+ * confirm each start; tests decide when runs end.
  */
 final class PoolFixture {
     static final String SERVICE = "render";
-    static final Resources TARGET = new Resources(32_000, 64_000, 8);
+    static final Resources TARGET_CAPACITY = new Resources(32_000, 64_000, 8);
 
     final Pool pool = new Pool();
     final Map<TaskId, TargetCommand.Start> running = new HashMap<>();
     final List<TargetCommand.Start> starts = new ArrayList<>();
     final List<TargetCommand.Stop> stops = new ArrayList<>();
-    final Map<String, JobProgress> durable = new HashMap<>();
+    final Map<String, JobProgress> persisted = new HashMap<>();
     private final Map<String, Long> endCounts = new HashMap<>();
     private final Map<String, Long> incarnations = new HashMap<>();
     private long millis = 1_000_000;
@@ -27,16 +27,17 @@
         return new ClockReading(millis * 1_000_000, millis);
     }
 
-    /** Adds a target and lets it report once. */
+    /** Registers a target and handles its first report. */
     void addTarget(String id, String rack) {
         incarnations.put(id, 1L);
-        pool.register(new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, false, 0, 1));
+        pool.register(
+                new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, false, 0, 1));
         report(id);
     }
 
-    void drainTarget(String id, String rack, long leavesNanos) {
-        pool.register(
-                new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, true, leavesNanos, 1));
+    void drainTarget(String id, String rack, long departureNanos) {
+        pool.register(new TargetInfo(
+                id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, true, departureNanos, 1));
     }
 
     void setGuarantee(String account, long accelerators) {
@@ -66,20 +67,20 @@
         schedulePass();
     }
 
-    /** Lets time pass and the pool decide. */
+    /** Advances the clock and runs a scheduling pass. */
     void advance(long elapsedMillis) {
         millis += elapsedMillis;
         schedulePass();
     }
 
-    /** Decides, makes durable, and lets the targets confirm starts. */
+    /** Runs a scheduling pass, persists its batch and confirms its starts. */
     void schedulePass() {
         pool.schedule(now());
         for (TargetCommand.Stop stop : pool.takeStops()) {
             stops.add(stop);
         }
         Batch batch = pool.takeBatch();
-        batch.records().forEach(record -> durable.put(record.id(), record));
+        batch.records().forEach(record -> persisted.put(record.id(), record));
         for (TargetCommand.Start start : batch.starts()) {
             starts.add(start);
             running.put(start.task(), start);
@@ -87,7 +88,7 @@
         }
     }
 
-    /** The target lists the end of every run that was told to stop. */
+    /** Reports the end of each run that was told to stop, and runs a scheduling pass. */
     void completeStops() {
         List<TargetCommand.Stop> pending = List.copyOf(stops);
         stops.clear();
@@ -95,7 +96,7 @@
         schedulePass();
     }
 
-    /** A running task ends. */
+    /** Reports the end of a run and runs a scheduling pass. Has no effect if the task is not running. */
     void endRun(TaskId task, TargetReport.EndReason reason) {
         TargetCommand.Start start = running.remove(task);
         if (start == null) {
@@ -115,19 +116,19 @@
                 now());
     }
 
-    /** A target reports one run, {@code percent} done. */
+    /** Reports a single run as {@code percent} done. */
     void reportProgress(TargetCommand.Start start, int percent) {
         TargetReport.Running run = new TargetReport.Running(start.task(), start.run(), "", percent);
         pool.handleReport(new TargetReport(start.target(), 1, now().monotonicNanos(), List.of(run), List.of()), now());
     }
 
-    /** The target starts again under its id, with nothing running. */
+    /** Restarts a target under its id, which ends its runs without a report. */
     void restartTarget(String target, String rack) {
         long incarnation = incarnations.merge(target, 1L, Long::sum);
         running.values().removeIf(start -> start.target().equals(target));
         endCounts.remove(target);
         pool.register(new TargetInfo(
-                target, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, false, 0, incarnation));
+                target, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, false, 0, incarnation));
     }
 
     private List<TargetReport.Running> runningOn(String target) {
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolLoadMain.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolLoadMain.java
@@ -7,7 +7,10 @@
 import java.util.random.RandomGeneratorFactory;
 import java.util.stream.LongStream;
 
-/** Plays both loads, calm and with bursts, over several seeds and prints the sums. Arguments: seeds, first seed. */
+/**
+ * Simulates both deployments, with a steady load and with bursts, over several seeds and prints the results. Arguments:
+ * number of seeds, first seed.
+ */
 final class PoolLoadMain {
     private static final long LENGTH_MILLIS = 60_000;
     private static final List<PoolSimulation.Burst> BURSTS = List.of(
@@ -15,7 +18,7 @@
             new PoolSimulation.Burst(1, 8_000, 12_000, 2.5),
             new PoolSimulation.Burst(0, 30_000, 36_000, 2.5));
 
-    /** Kept, since a logger that nobody refers to forgets its level. */
+    /** Held in a field, since a logger that is garbage-collected loses its level. */
     private static final Logger LOG = Logger.getLogger("org.acaciaport");
 
     private PoolLoadMain() {}
@@ -56,7 +59,7 @@
         for (String kind : runs.get(0).kinds().keySet()) {
             printKind(
                     kind,
-                    runs.stream().map(figures -> figures.kinds().get(kind)).toList());
+                    runs.stream().map(results -> results.kinds().get(kind)).toList());
         }
     }
 
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolSimulation.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolSimulation.java
@@ -12,19 +12,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Plays a load of drawn jobs on a pool in virtual time and tells how the kinds of request fare.
+ * A simulation of a pool under a random load in virtual time.
  *
- * <p>Targets are sound and orders arrive; the figures show what the decisions alone do. The same seed gives the same
- * figures.
+ * <p>Targets are healthy and no command is lost, so that the results depend only on the decisions of the pool. The same
+ * seed gives the same results.
  */
 final class PoolSimulation {
-    private static final int TICK_MILLIS = 20;
+    private static final int PASS_INTERVAL_MILLIS = 20;
     private static final int START_LATENCY_MILLIS = 30;
     private static final int STOP_LATENCY_MILLIS = 100;
     private static final int REPORT_INTERVAL_MILLIS = 500;
     private static final int DRAIN_MILLIS = 60_000;
     private static final double CROSS_RACK_SLOWDOWN = 3;
-    private static final int ACCOUNTS = 4;
+    private static final int ACCOUNT_COUNT = 4;
 
     private final Deployment deployment;
     private final RandomGenerator random;
@@ -40,30 +40,34 @@
     private long nextEventNumber;
 
     /**
-     * What the load meets.
+     * The targets of a pool, and the load on them.
      *
      * @param targets number of targets
-     * @param rackSize targets in a rack
-     * @param target room of a target
+     * @param rackSize number of targets in a rack
+     * @param target capacity of a target
      * @param kinds kinds of request
-     * @param guaranteedFraction part of all accelerators that is guaranteed to accounts, in equal shares
+     * @param guaranteedFraction fraction of all accelerators that is guaranteed to the accounts, in equal parts
      */
     record Deployment(int targets, int rackSize, Resources target, List<WorkKind> kinds, double guaranteedFraction) {}
 
-    /** A time in which one kind comes {@code factor} times as often. */
+    /** A period in which requests of one kind arrive {@code factor} times as often. */
     record Burst(int kind, long fromMillis, long toMillis, double factor) {}
 
-    /** What became of a kind: worth earned over worth asked for, and requests in time, late and of no use. */
+    /**
+     * Results of one kind of request: earned fraction of its value, and numbers of requests in time, late and missed.
+     */
     record KindResult(double valueFraction, int inTime, int late, int missed) {}
 
-    /** Figures of a play: worth earned over worth asked for in all, and work stopped and not saved, in core-seconds. */
+    /**
+     * Results of a simulation: by kind, earned fraction of the total value, and work lost by stops, in core-seconds.
+     */
     record Results(Map<String, KindResult> kinds, double valueFraction, double wastedCoreSeconds) {}
 
     private record Event(long millis, long number, Runnable action) {}
 
     private record Submission(WorkKind kind, WorkKind.Sample sample) {}
 
-    /** A run on a target; a gang progresses from the moment when all its members are there. */
+    /** A run on a target. The runs of a gang make progress only once all of them have started. */
     private static final class Running {
         TargetCommand.Start start;
         double startProgress;
@@ -95,8 +99,8 @@
         return simulation.results();
     }
 
-    private void schedule(long when, Runnable action) {
-        events.add(new Event(when, nextEventNumber++, action));
+    private void schedule(long atMillis, Runnable action) {
+        events.add(new Event(atMillis, nextEventNumber++, action));
     }
 
     private ClockReading now() {
@@ -106,8 +110,8 @@
     private void registerTargets() {
         Map<String, Long> guarantees = new HashMap<>();
         long totalAccelerators = deployment.targets * deployment.target.accelerators();
-        for (int i = 0; i < ACCOUNTS; i++) {
-            guarantees.put("account" + i, (long) (totalAccelerators * deployment.guaranteedFraction / ACCOUNTS));
+        for (int i = 0; i < ACCOUNT_COUNT; i++) {
+            guarantees.put("account" + i, (long) (totalAccelerators * deployment.guaranteedFraction / ACCOUNT_COUNT));
         }
         pool.configure(new PoolSettings(guarantees, Set.of(), Set.of(PoolFixture.SERVICE)));
         for (int i = 0; i < deployment.targets; i++) {
@@ -134,7 +138,7 @@
                 return;
             }
             String id = "%s-%05d".formatted(kind.name(), when);
-            String account = "account" + Math.min(random.nextInt(ACCOUNTS), random.nextInt(ACCOUNTS));
+            String account = "account" + Math.min(random.nextInt(ACCOUNT_COUNT), random.nextInt(ACCOUNT_COUNT));
             WorkKind.Sample sample = kind.sample(id, account, when, random);
             schedule(when, () -> {
                 submissions.put(id, new Submission(kind, sample));
@@ -148,7 +152,7 @@
             events.clear();
             return;
         }
-        schedule(millis + TICK_MILLIS, () -> {
+        schedule(millis + PASS_INTERVAL_MILLIS, () -> {
             pool.schedule(now());
             pool.takeStops().forEach(stop -> schedule(millis + STOP_LATENCY_MILLIS, () -> handleStop(stop)));
             Batch batch = pool.takeBatch();
@@ -189,7 +193,7 @@
         }
     }
 
-    /** Returns the runs that begin to work now that {@code start} is there: its whole gang, itself, or none yet. */
+    /** Returns the runs that begin to make progress with {@code start}: its whole gang, the run alone, or none yet. */
     private List<Running> activatedRuns(TargetCommand.Start start, Step step) {
         if (!step.mode().gang()) {
             return List.of(running.get(start.task()));
@@ -250,14 +254,14 @@
     }
 
     private void report(String target, List<TargetReport.Ended> ended) {
-        List<TargetReport.Running> list = new ArrayList<>();
+        List<TargetReport.Running> runs = new ArrayList<>();
         for (Running run : running.values()) {
             if (run.start.target().equals(target)) {
                 int percent = (int) (100 * run.progress(millis));
-                list.add(new TargetReport.Running(run.start.task(), run.start.run(), "", percent));
+                runs.add(new TargetReport.Running(run.start.task(), run.start.run(), "", percent));
             }
         }
-        pool.handleReport(new TargetReport(target, 1, now().monotonicNanos() - 1, list, ended), now());
+        pool.handleReport(new TargetReport(target, 1, now().monotonicNanos() - 1, runs, ended), now());
     }
 
     private Results results() {
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolSimulationTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolSimulationTest.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of whole loads; the bounds are the targets of the users' pages. */
+/** Tests of the pool under whole simulated loads; the bounds are the goals that the users set. */
 final class PoolSimulationTest {
     private static final long LENGTH_MILLIS = 60_000;
 
@@ -17,16 +17,16 @@
         return PoolSimulation.simulate(deployment, LENGTH_MILLIS, List.of(bursts), random);
     }
 
-    /** Pattern: a calm day of rendering. Each kind has to earn at least half of what it asks for. */
+    /** Under a steady rendering load, each kind of request earns at least half of its value. */
     @Test
-    void aCalmDayServesEveryKind() {
+    void aSteadyLoadServesEveryKind() {
         for (long seed = 1; seed <= 4; seed++) {
-            simulate(Deployments.RENDERING, seed).kinds().forEach((kind, fared) -> assertThat(fared.valueFraction())
+            simulate(Deployments.RENDERING, seed).kinds().forEach((kind, result) -> assertThat(result.valueFraction())
                     .isAtLeast(0.5));
         }
     }
 
-    /** Pattern: urgent matches come in bursts while rosters wait. Rosters wait longer but are not given up. */
+    /** Guards against starvation of waiting roster gangs by bursts of urgent matches; longer waits are accepted. */
     @Test
     void burstsOfUrgentWorkDoNotStarveLargeJobs() {
         PoolSimulation.Burst first = new PoolSimulation.Burst(0, 5_000, 11_000, 2.5);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameFigures() {
+    void theSameSeedGivesTheSameResults() {
         assertThat(simulate(Deployments.RENDERING, 7)).isEqualTo(simulate(Deployments.RENDERING, 7));
     }
 }
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolTest.java
@@ -7,16 +7,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Placement, ends and recovery of single jobs. */
+/** Tests of placement, completion and recovery of jobs. */
 final class PoolTest {
     private final PoolFixture fixture = new PoolFixture();
 
-    private JobState state(String job) {
-        return fixture.durable.get(job).state();
+    private JobState stateOf(String job) {
+        return fixture.persisted.get(job).state();
     }
 
     @Test
-    void aStartLeavesOnlyWithTheRecordThatNamesIt() {
+    void aStartIsReleasedOnlyWithItsRecord() {
         fixture.addTarget("t1", "r1");
         fixture.pool.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 1)));
         fixture.pool.schedule(fixture.now());
@@ -37,9 +37,9 @@
         assertThat(fixture.starts).hasSize(2);
         fixture.endRun(PoolFixture.taskId("a", 1), TargetReport.EndReason.DONE);
         assertThat(fixture.starts).hasSize(3);
-        assertThat(state("a")).isEqualTo(JobState.RUNNING);
+        assertThat(stateOf("a")).isEqualTo(JobState.RUNNING);
         fixture.endRun(new TaskId("a", 0, 1, 0), TargetReport.EndReason.DONE);
-        assertThat(state("a")).isEqualTo(JobState.DONE);
+        assertThat(stateOf("a")).isEqualTo(JobState.DONE);
     }
 
     @Test
@@ -64,9 +64,9 @@
         assertThat(targets).containsExactly("t2", "t3");
     }
 
-    /** Pattern: small long work spread over all racks leaves none whole for a tight gang, which then stops others. */
+    /** Guards against small tasks spread over all racks, which leave no rack to a tight gang without preemption. */
     @Test
-    void smallWorkFillsOneRackBeforeItOpensAnother() {
+    void smallTasksFillOneRackBeforeUsingAnother() {
         fixture.addTarget("t1", "r1");
         fixture.addTarget("t2", "r2");
         fixture.addTarget("t3", "r1");
@@ -79,12 +79,12 @@
     }
 
     @Test
-    void oneEndDoneStandsForTheWholeGang() {
+    void successOfOneMemberCompletesTheGang() {
         fixture.addTarget("t1", "r1");
         fixture.addTarget("t2", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.gang(2, 8, false)));
         fixture.endRun(PoolFixture.taskId("a", 1), TargetReport.EndReason.DONE);
-        assertThat(state("a")).isEqualTo(JobState.DONE);
+        assertThat(stateOf("a")).isEqualTo(JobState.DONE);
     }
 
     @Test
@@ -97,14 +97,14 @@
         fixture.endRun(PoolFixture.taskId("a", 0), TargetReport.EndReason.FAILED);
         assertThat(fixture.stops).hasSize(1);
         fixture.endRun(PoolFixture.taskId("a", 1), TargetReport.EndReason.FAILED);
-        assertThat(state("a")).isNotEqualTo(JobState.FAILED);
+        assertThat(stateOf("a")).isNotEqualTo(JobState.FAILED);
         assertThat(fixture.starts).hasSize(4);
         fixture.endRun(PoolFixture.taskId("a", 0), TargetReport.EndReason.FAILED);
-        assertThat(state("a")).isEqualTo(JobState.FAILED);
+        assertThat(stateOf("a")).isEqualTo(JobState.FAILED);
     }
 
     @Test
-    void aTargetThatStartsAgainHasLostItsRuns() {
+    void runsOfARestartedTargetAreRequeued() {
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8)));
         fixture.restartTarget("t1", "r1");
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void workOfASilentTargetRunsElsewhereOnlyAfterItsLeaseIsOver() {
+    void tasksOfAnUnregisteredTargetMoveOnlyAfterLeaseExpiry() {
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8)));
         fixture.addTarget("t2", "r1");
@@ -138,21 +138,21 @@
         fixture.submit(job);
         PoolFixture successor = new PoolFixture();
         successor.running.putAll(fixture.running);
-        successor.pool.restore(job, fixture.durable.get("a"), successor.now());
+        successor.pool.restore(job, fixture.persisted.get("a"), successor.now());
         successor.addTarget("t1", "r1");
         successor.schedulePass();
         assertThat(successor.starts).isEmpty();
         successor.endRun(PoolFixture.taskId("a", 0), TargetReport.EndReason.DONE);
-        assertThat(successor.durable.get("a").state()).isEqualTo(JobState.DONE);
+        assertThat(successor.persisted.get("a").state()).isEqualTo(JobState.DONE);
     }
 
     @Test
-    void aRestoredRunThatItsTargetDoesNotKnowStartsAgainUnderAHigherNumber() {
+    void aRestoredRunUnknownToItsTargetRestartsWithAHigherRunNumber() {
         fixture.addTarget("t1", "r1");
         Job job = fixture.job("a", "x", 1, PoolFixture.independentTasks(1, 8));
         fixture.submit(job);
         PoolFixture successor = new PoolFixture();
-        successor.pool.restore(job, fixture.durable.get("a"), successor.now());
+        successor.pool.restore(job, fixture.persisted.get("a"), successor.now());
         successor.addTarget("t1", "r1");
         successor.schedulePass();
         assertThat(successor.starts).hasSize(1);
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aRunThatNobodyAskedForIsStopped() {
+    void aStrayRunIsStopped() {
         fixture.addTarget("t1", "r1");
         fixture.running.put(
                 PoolFixture.taskId("a", 0),
@@ -178,13 +178,13 @@
         fixture.pool.cancel("a", fixture.now());
         fixture.schedulePass();
         fixture.completeStops();
-        assertThat(state("a")).isEqualTo(JobState.CANCELLED);
+        assertThat(stateOf("a")).isEqualTo(JobState.CANCELLED);
         assertThat(fixture.starts).hasSize(1);
     }
 
     /**
-     * Pattern: a tight gang of an account within its guarantee was moved off a slow target, has waited long in all, and
-     * used to be spread over racks at once, though one rack had room: there it takes several times as long.
+     * Guards against spreading a tight gang over racks, where it takes several times as long, although one rack has
+     * room. It happened to a claim that had exceeded its locality wait before it was moved off a slow target.
      */
     @Test
     void aGangThatWaitedLongStillPrefersOneRack() {
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PreemptionTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PreemptionTest.java
@@ -9,12 +9,12 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
-/** Whose work is stopped, spared or waited for so that other work gets its room. */
+/** Tests of the choice of the tasks that are preempted, spared or waited for. */
 final class PreemptionTest {
     private final PoolFixture fixture = new PoolFixture();
 
     @Test
-    void aClaimWithinTheGuaranteeStopsOthersWorkAtOnce() {
+    void aClaimPreemptsOtherAccountsAtOnce() {
         fixture.setGuarantee("owner", 8);
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("borrower", "x", 1, PoolFixture.independentTasks(1, 8)));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void workOfPriorityZeroBeyondItsGuaranteeYieldsToAClaimWithin() {
+    void highestPriorityTasksBeyondTheirGuaranteeYieldToAClaim() {
         fixture.setGuarantee("owner", 8);
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("borrower", "x", 0, PoolFixture.independentTasks(1, 8)));
@@ -34,9 +34,9 @@
         assertThat(fixture.stops).hasSize(1);
     }
 
-    /** Pattern: a claim arrives while others' work is about to end; stopping it would lose nearly all of it. */
+    /** Guards against preempting a task that is about to complete, which would lose nearly all of its work. */
     @Test
-    void aClaimWaitsForWorkThatIsAboutToEnd() {
+    void aClaimWaitsForTasksAboutToComplete() {
         fixture.setGuarantee("owner", 8);
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("borrower", "x", 1, PoolFixture.independentTasks(1, 8)));
@@ -48,22 +48,25 @@
         assertThat(fixture.stops).hasSize(1);
     }
 
-    /** Pattern: short urgent work beyond its guarantee arrives while long work without checkpoints is nearly done. */
+    /**
+     * Guards against the loss of long work without checkpoints to a short urgent task beyond the guarantee of its
+     * account.
+     */
     @Test
-    void workBeyondTheGuaranteeDoesNotThrowAwayMuchMoreThanItDoes() {
+    void preemptionBeyondTheGuaranteeRespectsTheLossBudget() {
         fixture.addTarget("t1", "r1");
-        Step lengthy =
+        Step longStep =
                 new Step(1, new Resources(1_000, 1_000, 8), 60_000, List.of(), Step.Constraints.NONE, Step.Mode.PLAIN);
-        fixture.submit(fixture.job("borrower", "x", 1, lengthy));
+        fixture.submit(fixture.job("borrower", "x", 1, longStep));
         fixture.advance(20_000);
         fixture.submit(fixture.job("beyond", "owner", 0, PoolFixture.independentTasks(1, 8)));
         fixture.advance(3_000);
         assertThat(fixture.stops).isEmpty();
     }
 
-    /** Pattern: the same large job was stopped for urgent work again and again, while others were left alone. */
+    /** Guards against preempting the same large job again and again while others are spared. */
     @Test
-    void workThatWasStoppedForOthersBeforeIsSparedNextTime() {
+    void aPreemptedStepIsSparedNextTime() {
         fixture.setGuarantee("owner", 64);
         fixture.addTarget("t1", "r1");
         fixture.addTarget("t2", "r1");
@@ -81,9 +84,11 @@
         assertThat(fixture.stops.get(0).task().job()).isEqualTo("other");
     }
 
-    /** Pattern: a claim stopped another account's urgent work, which was late then, though other work could wait. */
+    /**
+     * Guards against preempting urgent tasks of another account, which are late then, although other tasks can wait.
+     */
     @Test
-    void aClaimStopsWorkThatCanWaitRatherThanUrgentWork() {
+    void aClaimPrefersVictimsOfLowerPriority() {
         fixture.setGuarantee("owner", 8);
         fixture.addTarget("t1", "r1");
         fixture.addTarget("t2", "r1");
@@ -95,28 +100,31 @@
         assertThat(fixture.stops.get(0).task().job()).isEqualTo("patient");
     }
 
-    /** Pattern: a short preview that takes whole targets was never worth its victims, and waited for many seconds. */
+    /**
+     * Guards against long waits of a short preview that needs a whole target: its own work is never worth that of its
+     * victims, so it needs a minimum loss budget.
+     */
     @Test
-    void aShortPreviewThatTakesWholeTargetsDoesNotWaitForLongWork() {
+    void aShortTaskThatNeedsAWholeTargetDoesNotWaitForLongTasks() {
         fixture.addTarget("t1", "r1");
         fixture.submit(fixture.job("patient", "x", 1, PoolFixture.independentTasks(1, 8)));
         fixture.advance(3_000);
-        Step brief =
+        Step shortStep =
                 new Step(1, new Resources(1_000, 1_000, 8), 300, List.of(), Step.Constraints.NONE, Step.Mode.PLAIN);
-        fixture.submit(fixture.job("preview", "y", 0, brief));
+        fixture.submit(fixture.job("preview", "y", 0, shortStep));
         assertThat(fixture.stops).hasSize(1);
     }
 
     /**
-     * Pattern: a calm day on which an urgent gang too dear to place waits for room. It used to be given that room and
-     * to lose it again in each pass, fifty times a second, with a line in the log each time.
+     * Guards against an urgent gang that gains and loses its advance reservation in each pass, fifty times a second,
+     * and writes a log line each time. It happened to a gang whose placement would exceed its loss budget.
      */
     @Test
-    void anUrgentGangKeepsTheRoomThatIsSetAsideForIt() {
+    void anUrgentGangKeepsItsAdvanceReservation() {
         fixture.addTarget("t1", "r1");
-        Step lengthy =
+        Step longStep =
                 new Step(1, new Resources(1_000, 1_000, 8), 60_000, List.of(), Step.Constraints.NONE, Step.Mode.PLAIN);
-        fixture.submit(fixture.job("patient", "x", 1, lengthy));
+        fixture.submit(fixture.job("patient", "x", 1, longStep));
         fixture.advance(30_000);
         fixture.submit(fixture.job("urgent", "y", 0, PoolFixture.gang(1, 8, false)));
         List<String> lines = new ArrayList<>();
@@ -140,12 +148,12 @@
 
             @Override
             public void flush() {
-                // Nothing is held back.
+                // Records are not buffered.
             }
 
             @Override
             public void close() {
-                // Nothing to close.
+                // There is no resource to close.
             }
         };
     }
--- a/acacia-pool/src/test/java/org/acaciaport/pool/WorkKind.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/WorkKind.java
@@ -4,26 +4,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One kind of request of a deployment, from which jobs are drawn.
+ * A kind of request in a deployment, from which random jobs are sampled.
  *
- * @param name what it is called
- * @param perSecond mean number of requests a second
- * @param value worth of a request in time
- * @param lateValue worth of a request that is late but within three times its objective
- * @param terms how its queue treats jobs
- * @param meanSteps mean number of steps
+ * @param name name of the kind
+ * @param perSecond mean arrival rate, in requests per second
+ * @param value value of a request that completes in time
+ * @param lateValue value of a request that completes late but within three times its objective
+ * @param terms scheduling terms of the queue
+ * @param meanSteps mean number of steps, from 1 to 2
  * @param meanTasks mean number of tasks of a step
- * @param maxTasks largest number of tasks of a step
- * @param meanSeconds mean duration of a task
- * @param relativeDeviation relative standard deviation of durations
- * @param maxSeconds longest duration of a task
- * @param cores processors of a task
+ * @param maxTasks maximum number of tasks of a step
+ * @param meanSeconds mean duration of a task, in seconds
+ * @param relativeDeviation relative standard deviation of the duration of a task
+ * @param maxSeconds maximum duration of a task, in seconds
+ * @param cores cores of a task
  * @param memoryMb memory of a task, in megabytes
- * @param accelerators numbers of accelerators of a task, drawn evenly
- * @param gang whether the tasks work only together
- * @param tightFraction share of gangs that slow down on several racks
- * @param checkpointFraction share of jobs that save their progress
- * @param estimateError standard deviation of the logarithm of estimate over duration
+ * @param accelerators numbers of accelerators of a task, sampled uniformly
+ * @param gang whether the tasks of a step form a gang
+ * @param tightFraction fraction of gangs that run slower on several racks
+ * @param checkpointFraction fraction of steps that write checkpoints
+ * @param estimateError standard deviation of the logarithm of the ratio of estimate to duration
  */
 record WorkKind(
         String name,
@@ -44,9 +44,9 @@
         double tightFraction,
         double checkpointFraction,
         double estimateError) {
-    private static final double TASK_SPREAD = 0.8;
+    private static final double TASK_COUNT_RELATIVE_DEVIATION = 0.8;
 
-    /** A job and what its tasks really take. */
+    /** A job, with the true duration of the tasks of each step, in seconds. */
     record Sample(Job job, double[] taskSeconds) {
         double criticalPathSeconds() {
             double sum = 0;
@@ -63,7 +63,8 @@
         double[] seconds = new double[count];
         for (int i = 0; i < count; i++) {
             seconds[i] = Math.min(maxSeconds, logNormal(meanSeconds, relativeDeviation, random));
-            int tasks = Math.clamp(Math.round(logNormal(meanTasks, TASK_SPREAD, random)), 1, maxTasks);
+            int tasks =
+                    Math.clamp(Math.round(logNormal(meanTasks, TASK_COUNT_RELATIVE_DEVIATION, random)), 1, maxTasks);
             steps[i] = sampleStep(i, tasks, seconds[i], random);
         }
         Job job = new Job(
@@ -85,7 +86,7 @@
                 new Step.Mode(gang, checkpoints, false, false, false, 0));
     }
 
-    /** Draws from a log-normal distribution. */
+    /** Returns a sample of a log-normal distribution. */
     private static double logNormal(double mean, double relativeDeviation, RandomGenerator random) {
         double variance = Math.log(1 + relativeDeviation * relativeDeviation);
         return mean * Math.exp(Math.sqrt(variance) * random.nextGaussian() - variance / 2);
