--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/AccountDemand.java
@@ -0,0 +1,40 @@
+package org.acaciaport.pool;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * The demand of client accounts for accelerators at the highest priority, compared with their guarantees.
+ *
+ * <p>A snapshot. Not thread-safe; confined to the thread of the pool.
+ */
+final class AccountDemand {
+    private final Map<String, Long> requestedAccelerators = new HashMap<>();
+    private final Map<String, Long> guarantees;
+
+    private AccountDemand(Map<String, Long> guarantees) {
+        this.guarantees = guarantees;
+    }
+
+    /** Returns the demand of all unfinished jobs of priority 0; each counts with the demand of its largest step. */
+    static AccountDemand of(Collection<JobExecution> jobs, PoolSettings settings) {
+        AccountDemand demand = new AccountDemand(settings.guarantees());
+        for (JobExecution job : jobs) {
+            if (job.state.isTerminal() || job.spec.terms().priority() != 0) {
+                continue;
+            }
+            long largestStep = 0;
+            for (Step step : job.spec.steps()) {
+                largestStep = Math.max(largestStep, step.count() * step.demand().accelerators());
+            }
+            demand.requestedAccelerators.merge(job.spec.account(), largestStep, Long::sum);
+        }
+        return demand;
+    }
+
+    /** Returns whether the total demand of {@code account} is within its guarantee. */
+    boolean isWithinGuarantee(String account) {
+        return requestedAccelerators.getOrDefault(account, 0L) <= guarantees.getOrDefault(account, 0L);
+    }
+}
--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/JobExecution.java
@@ -0,0 +1,130 @@
+package org.acaciaport.pool;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/**
+ * The execution state of one job.
+ *
+ * <p>Mutable and not thread-safe; confined to the thread of the pool. Each occurrence is either in
+ * {@code openOccurrences}, in {@code doneOccurrences}, or not yet due.
+ */
+final class JobExecution {
+    final Job spec;
+    final Objective objective;
+    final Set<Integer> doneOccurrences = new TreeSet<>();
+    private final TreeMap<Integer, List<StepExecution>> openOccurrences = new TreeMap<>();
+    JobState state = JobState.QUEUED;
+    long endedMillis;
+
+    JobExecution(Job spec) {
+        this.spec = spec;
+        objective = Objective.of(spec);
+    }
+
+    /** Returns the steps of an occurrence, and opens the occurrence if it is not open. */
+    List<StepExecution> occurrence(int number) {
+        return openOccurrences.computeIfAbsent(number, k -> {
+            List<StepExecution> steps = new ArrayList<>();
+            for (int i = 0; i < spec.steps().size(); i++) {
+                steps.add(new StepExecution(this, k, i));
+            }
+            return steps;
+        });
+    }
+
+    /** Returns the steps of each open occurrence. */
+    Collection<List<StepExecution>> openOccurrences() {
+        return openOccurrences.values();
+    }
+
+    /** Returns the task, or null if its occurrence is not open or has no such task. */
+    TaskExecution task(TaskId id) {
+        List<StepExecution> steps = openOccurrences.get(id.occurrence());
+        if (steps == null || id.step() < 0 || id.step() >= steps.size()) {
+            return null;
+        }
+        List<TaskExecution> tasks = steps.get(id.step()).tasks;
+        return id.index() < 0 || id.index() >= tasks.size() ? null : tasks.get(id.index());
+    }
+
+    /** Opens the occurrences that are due by {@code nowMillis}, in milliseconds since the epoch. */
+    void openDueOccurrences(long nowMillis) {
+        int next = 0;
+        if (!openOccurrences.isEmpty()) {
+            next = openOccurrences.lastKey() + 1;
+        }
+        for (int done : doneOccurrences) {
+            next = Math.max(next, done + 1);
+        }
+        while (next < spec.occurrenceCount() && spec.dueMillis(next) <= nowMillis) {
+            occurrence(next);
+            next++;
+        }
+    }
+
+    /** Marks an open occurrence as done, and ends the job if it was the last one. */
+    void closeOccurrence(int occurrence, long nowMillis) {
+        openOccurrences.remove(occurrence);
+        doneOccurrences.add(occurrence);
+        if (doneOccurrences.size() == spec.occurrenceCount()) {
+            end(JobState.DONE, nowMillis);
+        }
+    }
+
+    void end(JobState finalState, long nowMillis) {
+        state = finalState;
+        endedMillis = nowMillis;
+    }
+
+    /** Returns all tasks of the open occurrences. */
+    List<TaskExecution> tasks() {
+        List<TaskExecution> all = new ArrayList<>();
+        for (List<StepExecution> steps : openOccurrences.values()) {
+            for (StepExecution step : steps) {
+                all.addAll(step.tasks);
+            }
+        }
+        return all;
+    }
+
+    /** Returns the record to persist for this job. */
+    JobProgress progress() {
+        List<JobProgress.Task> tasks = new ArrayList<>();
+        for (TaskExecution task : tasks()) {
+            if (task.lastRun == 0) {
+                continue;
+            }
+            boolean placed = task.phase.mayOccupyTarget();
+            tasks.add(new JobProgress.Task(
+                    task.id.occurrence(),
+                    task.id.step(),
+                    task.id.index(),
+                    task.lastRun,
+                    task.failures,
+                    task.phase == Phase.DONE,
+                    placed ? task.target.id : "",
+                    placed ? task.incarnation : 0,
+                    task.phase == Phase.DONE ? "" : task.checkpoint));
+        }
+        boolean ended = state.isTerminal();
+        return new JobProgress(
+                spec.id(),
+                state,
+                endedMillis,
+                ended ? List.of() : List.copyOf(doneOccurrences),
+                tasksToStore(tasks, ended));
+    }
+
+    /** Filters the tasks to persist: for an ended job, only those with a run that may still be active. */
+    private static List<JobProgress.Task> tasksToStore(List<JobProgress.Task> tasks, boolean ended) {
+        if (!ended) {
+            return tasks;
+        }
+        return tasks.stream().filter(task -> !task.target().isEmpty()).toList();
+    }
+}
--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/LocalityTier.java
@@ -0,0 +1,44 @@
+package org.acaciaport.pool;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Groups of targets with the same locality, each of which may host a whole unit. Outside the first tier, tasks take
+ * several times as long, so a tier is considered only if the tiers before it have no room even after preemption.
+ *
+ * <p>Not thread-safe; confined to the thread of the pool.
+ *
+ * @param groups groups of targets
+ */
+record LocalityTier(List<List<TargetState>> groups) {
+    /** Multiple of its estimated duration that a task waits for a target in the rack of its data. */
+    private static final double LOCALITY_WAIT_FACTOR = 1.0;
+
+    /**
+     * Returns the tiers in which {@code unit} may be placed, best locality first.
+     *
+     * @param racks eligible targets by rack
+     * @param overdue whether the unit is within its guarantee and has waited too long to require the best locality
+     * @param waitedMillis time that the unit has waited, in milliseconds
+     */
+    static List<LocalityTier> of(
+            PlacementUnit unit, Map<String, List<TargetState>> racks, boolean overdue, long waitedMillis) {
+        Step.Constraints constraints = unit.step().spec.constraints();
+        List<TargetState> all = new ArrayList<>();
+        racks.values().forEach(all::addAll);
+        LocalityTier anywhere = new LocalityTier(List.of(all));
+        if (constraints.tight() && unit.size() > 1 && Placement.fitsOnOneRack(unit, racks)) {
+            LocalityTier oneRack = new LocalityTier(List.copyOf(racks.values()));
+            return overdue ? List.of(oneRack, anywhere) : List.of(oneRack);
+        }
+        if (constraints.nearRack().isEmpty() || !racks.containsKey(constraints.nearRack())) {
+            return List.of(anywhere);
+        }
+        LocalityTier nearData = new LocalityTier(List.of(racks.get(constraints.nearRack())));
+        long localityWaitMillis =
+                (long) (LOCALITY_WAIT_FACTOR * unit.step().spec.estimateMillis());
+        return overdue || waitedMillis > localityWaitMillis ? List.of(nearData, anywhere) : List.of(nearData);
+    }
+}
--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/StepExecution.java
@@ -0,0 +1,75 @@
+package org.acaciaport.pool;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * The execution state of one step of one occurrence.
+ *
+ * <p>Mutable and not thread-safe; confined to the thread of the pool.
+ */
+final class StepExecution {
+    final JobExecution job;
+    final Step spec;
+    final int occurrence;
+    final int number;
+    final List<TaskExecution> tasks = new ArrayList<>();
+    int doneTaskCount;
+
+    /** Number of the newest failed run of a gang, so that a failure reported by several members counts once. */
+    int lastFailedRun;
+
+    /** Whether a straggler of this step was handled already; done only once, as the estimate may be wrong. */
+    boolean stragglerHandled;
+
+    /** Number of preemptions of this step; each makes the next one more expensive. */
+    int preemptionCount;
+
+    /** Monotonic clock reading of the next search among running tasks, in nanoseconds; the search is expensive. */
+    long nextSearchNanos;
+
+    /**
+     * Monotonic clock reading, in nanoseconds, until which a unit of the highest priority keeps a reservation whose
+     * resources are still in use.
+     */
+    long reservationExpiresNanos;
+
+    /** Monotonic clock reading at which the step became ready to run, in nanoseconds; 0 until then. */
+    long readyNanos;
+
+    StepExecution(JobExecution job, int occurrence, int number) {
+        this.job = job;
+        this.spec = job.spec.steps().get(number);
+        this.occurrence = occurrence;
+        this.number = number;
+        for (int i = 0; i < spec.count(); i++) {
+            tasks.add(new TaskExecution(new TaskId(job.spec.id(), occurrence, number, i), this));
+        }
+    }
+
+    /** Returns whether {@code task} runs on another rack than its data, or than a task of the same tight step. */
+    boolean lacksLocality(TaskExecution task) {
+        String near = spec.constraints().nearRack();
+        if (!near.isEmpty() && !near.equals(task.target.rack())) {
+            return true;
+        }
+        if (!spec.constraints().tight()) {
+            return false;
+        }
+        for (TaskExecution other : tasks) {
+            if (other.target != null && !other.target.rack().equals(task.target.rack())) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Returns how long the occurrence can wait and still complete within its objective, in milliseconds. */
+    long slackMillis(ClockReading now) {
+        return job.objective.slackMillis(occurrence, now.wallClockMillis());
+    }
+
+    boolean isDone() {
+        return doneTaskCount == tasks.size();
+    }
+}
--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetHealth.java
@@ -0,0 +1,75 @@
+package org.acaciaport.pool;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Detects faulty targets by the outcome of their runs, since a faulty target may still report itself healthy.
+ *
+ * <p>A job that fails on several targets is assumed to be the cause itself, so further failures of it are not counted
+ * against targets. Mutable and not thread-safe; confined to the thread of the pool.
+ */
+final class TargetHealth {
+    /** Failures of different jobs, without a success in between, after which a target is excluded. */
+    private static final int EXCLUSION_SCORE = 2;
+
+    /** Duration of the first exclusion, in milliseconds; doubled with each further point of the failure score. */
+    private static final long INITIAL_EXCLUSION_MILLIS = 2_000;
+
+    private static final int MAX_DOUBLINGS = 3;
+
+    private final Map<String, Set<String>> failedTargetsByJob = new HashMap<>();
+
+    /** Records that a run of {@code job} failed on {@code target}. */
+    void recordFailure(String job, TargetState target, ClockReading now) {
+        Set<String> failedTargets = failedTargetsByJob.computeIfAbsent(job, id -> new HashSet<>());
+        boolean failedElsewhere = !failedTargets.isEmpty() && !failedTargets.equals(Set.of(target.id));
+        failedTargets.add(target.id);
+        if (failedElsewhere || target.lastFailedJob.equals(job)) {
+            return;
+        }
+        target.lastFailedJob = job;
+        addToScore(target, now, 1);
+    }
+
+    /** Records that a run stalled or straggled on {@code target}, and excludes the target at once. */
+    void recordStall(TargetState target, ClockReading now) {
+        addToScore(target, now, EXCLUSION_SCORE);
+    }
+
+    private static void addToScore(TargetState target, ClockReading now, int points) {
+        target.failureScore += points;
+        if (target.failureScore < EXCLUSION_SCORE) {
+            return;
+        }
+        int doublings = Math.min(MAX_DOUBLINGS, target.failureScore - EXCLUSION_SCORE);
+        exclude(target, now.nanosAfter(INITIAL_EXCLUSION_MILLIS << doublings));
+    }
+
+    /** Excludes {@code target} from new work until the given monotonic clock reading, in nanoseconds. */
+    static void exclude(TargetState target, long untilNanos) {
+        target.excludedUntilNanos = Math.max(target.excludedUntilNanos, untilNanos);
+    }
+
+    /** Records that a run completed on {@code target}. */
+    void recordSuccess(TargetState target) {
+        target.failureScore = 0;
+        target.lastFailedJob = "";
+    }
+
+    /**
+     * Returns whether {@code job} must not run on {@code target} because it failed there. A job that failed on as many
+     * targets as there are is not excluded from any.
+     */
+    boolean isExcludedForJob(String job, TargetState target, Collection<TargetState> all) {
+        Set<String> failedTargets = failedTargetsByJob.get(job);
+        return failedTargets != null && failedTargets.contains(target.id) && failedTargets.size() < all.size();
+    }
+
+    void removeJob(String job) {
+        failedTargetsByJob.remove(job);
+    }
+}
--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetState.java
@@ -0,0 +1,98 @@
+package org.acaciaport.pool;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * The state of one target and of the tasks placed on it.
+ *
+ * <p>Mutable and not thread-safe; confined to the thread of the pool. {@code tasks} holds exactly the tasks whose
+ * {@code target} is this one; they are in phase RESERVED, STARTING, RUNNING or STOPPING.
+ */
+final class TargetState {
+    final String id;
+
+    /** Newest registration data; null before the first registration. */
+    TargetInfo info;
+
+    /** Whether the target is currently registered. */
+    boolean registered;
+
+    /** Newest incarnation that the target reported; 0 before the first report. */
+    long incarnation;
+
+    /** Resources used by stray runs: reported runs that are not the newest run of their task on this target. */
+    Resources strayDemand = Resources.NONE;
+
+    /** Monotonic clock reading until which the target accepts no new work, in nanoseconds. */
+    long excludedUntilNanos;
+
+    /** Failures of different jobs since the last success; a stall counts as several failures. */
+    int failureScore;
+
+    /** Id of the job whose failure was counted last; empty if there is none. */
+    String lastFailedJob = "";
+
+    final Map<TaskId, TaskExecution> tasks = new LinkedHashMap<>();
+
+    private Resources used = Resources.NONE;
+    private Resources stopping = Resources.NONE;
+    private Resources reserved = Resources.NONE;
+
+    TargetState(String id) {
+        this.id = id;
+    }
+
+    String rack() {
+        return info == null ? "" : info.rack();
+    }
+
+    /** Returns the resources that are free now; negative amounts if the target is over-committed. */
+    Resources freeNow() {
+        return capacity().minus(used).minus(strayDemand);
+    }
+
+    /** Returns the resources that will be free once all pending stops are done and all reserved runs have started. */
+    Resources projectedFree() {
+        return freeNow().plus(stopping).minus(reserved);
+    }
+
+    Resources capacity() {
+        return info == null ? Resources.NONE : info.capacity();
+    }
+
+    /** Places {@code task} on this target in {@code phase}, or moves a task on this target to {@code phase}. */
+    void put(TaskExecution task, Phase phase) {
+        if (task.target == this) {
+            adjustUsage(task, -1);
+        }
+        task.target = this;
+        task.phase = phase;
+        tasks.put(task.id, task);
+        adjustUsage(task, 1);
+    }
+
+    /** Removes {@code task} from this target and sets its phase to {@code phase}. */
+    void remove(TaskExecution task, Phase phase) {
+        adjustUsage(task, -1);
+        tasks.remove(task.id);
+        task.target = null;
+        task.phase = phase;
+    }
+
+    private void adjustUsage(TaskExecution task, int sign) {
+        Resources demand = task.demand();
+        if (task.phase == Phase.RESERVED) {
+            reserved = add(reserved, demand, sign);
+            return;
+        }
+        used = add(used, demand, sign);
+        if (task.phase == Phase.STOPPING) {
+            stopping = add(stopping, demand, sign);
+        }
+    }
+
+    private static Resources add(Resources sum, Resources demand, int sign) {
+        return sign > 0 ? sum.plus(demand) : sum.minus(demand);
+    }
+}
--- /dev/null
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TaskExecution.java
@@ -0,0 +1,140 @@
+package org.acaciaport.pool;
+
+/**
+ * The execution state of one task.
+ *
+ * <p>Mutable and not thread-safe; confined to the thread of the pool. {@code target} is null exactly in the phases
+ * WAITING and DONE.
+ */
+final class TaskExecution {
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int COMPLETE_PERCENT = 100;
+
+    /** Minimum run time before the progress rate of a run is evaluated, in seconds. */
+    private static final double MIN_OBSERVATION_SECONDS = 0.8;
+
+    /** Multiple of its estimated duration beyond which a run is a straggler; large because estimates are rough. */
+    private static final double STRAGGLER_FACTOR = 3.0;
+
+    /** Typical time between stopping a run and starting the next one, in seconds. */
+    private static final double RESTART_DELAY_SECONDS = 0.5;
+
+    /** Minimum observed progress for predicting the end of a run from its own rate, in percent. */
+    private static final int MIN_RATE_SAMPLE_PERCENT = 5;
+
+    final TaskId id;
+    final StepExecution step;
+    Phase phase = Phase.WAITING;
+
+    /** Run number of the newest run; 0 before the first. */
+    int lastRun;
+
+    /** Number of failed runs; for a gang, counted on its first task. */
+    int failures;
+
+    /** Newest checkpoint; empty if there is none. */
+    String checkpoint = "";
+
+    TargetState target;
+
+    /** Incarnation of the target that the newest run was sent to. */
+    long incarnation;
+
+    /** Monotonic clock reading at the confirmation of the newest run, in nanoseconds; 0 while it is unconfirmed. */
+    long confirmedNanos;
+
+    /** Monotonic clock reading at the newest stop command, in nanoseconds. */
+    long stopSentNanos;
+
+    /** Reported progress of the newest run, from 0 to 100. */
+    int percent;
+
+    /** First known progress of the newest run, from 0 to 100; negative until it is known. */
+    int firstPercent = -1;
+
+    /** Monotonic clock reading at the report of {@code firstPercent}, in nanoseconds. */
+    long firstPercentNanos;
+
+    /** Monotonic clock reading at the last change of {@code percent}, in nanoseconds. */
+    long lastProgressNanos;
+
+    TaskExecution(TaskId id, StepExecution step) {
+        this.id = id;
+        this.step = step;
+    }
+
+    /** Records that the newest run has started. The initial progress of a run that resumes a checkpoint is unknown. */
+    void confirmRun(long nowNanos) {
+        confirmedNanos = nowNanos;
+        lastProgressNanos = nowNanos;
+        percent = 0;
+        firstPercent = checkpoint.isEmpty() ? 0 : -1;
+        firstPercentNanos = nowNanos;
+    }
+
+    /** Records the reported progress of the newest run. */
+    void recordProgress(int reportedPercent, long nowNanos) {
+        if (firstPercent < 0) {
+            firstPercent = reportedPercent;
+            firstPercentNanos = nowNanos;
+        }
+        if (reportedPercent != percent) {
+            percent = reportedPercent;
+            lastProgressNanos = nowNanos;
+        }
+    }
+
+    /** Returns whether the newest run is known to be much slower than estimated; false until its rate is known. */
+    boolean isStraggler(ClockReading now) {
+        boolean observed = now.secondsSince(confirmedNanos) >= MIN_OBSERVATION_SECONDS;
+        if (gainedPercent() < 1 || !observed || step.lacksLocality(this)) {
+            return false;
+        }
+        return projectedRunSeconds() > STRAGGLER_FACTOR * step.spec.estimateSeconds() + MIN_OBSERVATION_SECONDS;
+    }
+
+    /**
+     * Returns whether a slow run would probably end sooner on another target. Either a slow target or a low estimate
+     * may be the cause, so the duration elsewhere is taken as the mean of the estimate and the projection of this run.
+     */
+    boolean wouldEndSoonerElsewhere() {
+        double restartedSeconds = (step.spec.estimateSeconds() + projectedRunSeconds()) / 2;
+        double savedFraction = step.spec.mode().checkpoint() ? (double) percent / COMPLETE_PERCENT : 0;
+        double remaining = (COMPLETE_PERCENT - percent) * secondsPerPercent();
+        return remaining > restartedSeconds * (1 - savedFraction) + RESTART_DELAY_SECONDS;
+    }
+
+    /** Returns the total duration of the newest run at its observed rate, in seconds. */
+    private double projectedRunSeconds() {
+        return COMPLETE_PERCENT * secondsPerPercent();
+    }
+
+    /**
+     * Returns the predicted time until the newest run completes, in seconds. Uses the observed rate of the run, or the
+     * estimate of its step while too little progress was observed.
+     */
+    double remainingSeconds(ClockReading now) {
+        if (gainedPercent() < MIN_RATE_SAMPLE_PERCENT) {
+            return Math.max(0, step.spec.estimateSeconds() - now.secondsSince(confirmedNanos));
+        }
+        double remaining = (COMPLETE_PERCENT - percent) * secondsPerPercent();
+        return Math.max(0, remaining - now.secondsSince(lastProgressNanos));
+    }
+
+    /** Returns the progress of the newest run since {@code firstPercent}, in percent; 0 while that is unknown. */
+    private int gainedPercent() {
+        return firstPercent < 0 ? 0 : percent - firstPercent;
+    }
+
+    private double secondsPerPercent() {
+        return (lastProgressNanos - firstPercentNanos) / NANOS_PER_SECOND / gainedPercent();
+    }
+
+    Resources demand() {
+        return step.spec.chargedResources();
+    }
+
+    Job job() {
+        return step.job.spec;
+    }
+}
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
@@ -7,52 +7,53 @@
 import java.util.Set;
 
 /**
- * A pool with targets of 8 accelerators and 32 cores in virtual time. What the pool wants is made durable at once; the
- * targets do as told, and tests say when runs end.
+ * A pool in virtual time with targets of 8 accelerators and 32 cores. Batches are persisted at once, and targets
+ * confirm each start; tests decide when runs end.
  */
 final class PoolFixture {
     static final String SERVICE = "render";
-    static final Resources TARGET = new Resources(32_000, 64_000, 8);
+    static final Resources TARGET_CAPACITY = new Resources(32_000, 64_000, 8);
 
     final Pool pool = new Pool();
     final Map<TaskId, TargetCommand.Start> running = new HashMap<>();
     final List<TargetCommand.Start> starts = new ArrayList<>();
     final List<TargetCommand.Stop> stops = new ArrayList<>();
-    final Map<String, JobProgress> durable = new HashMap<>();
-    private final Map<String, Long> ends = new HashMap<>();
-    private final Map<String, Long> lives = new HashMap<>();
+    final Map<String, JobProgress> persisted = new HashMap<>();
+    private final Map<String, Long> endCounts = new HashMap<>();
+    private final Map<String, Long> incarnations = new HashMap<>();
     private long millis = 1_000_000;
 
     ClockReading now() {
         return new ClockReading(millis * 1_000_000, millis);
     }
 
-    /** Adds a target and lets it report once. */
-    void target(String id, String rack) {
-        lives.put(id, 1L);
-        pool.register(new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, false, 0, 1));
+    /** Registers a target and handles its first report. */
+    void addTarget(String id, String rack) {
+        incarnations.put(id, 1L);
+        pool.register(
+                new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, false, 0, 1));
         report(id);
     }
 
-    void drain(String id, String rack, long leavesNanos) {
-        pool.register(
-                new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, true, leavesNanos, 1));
+    void drainTarget(String id, String rack, long departureNanos) {
+        pool.register(new TargetInfo(
+                id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, true, departureNanos, 1));
     }
 
-    void guarantee(String account, long accelerators) {
+    void setGuarantee(String account, long accelerators) {
         pool.configure(new PoolSettings(Map.of(account, accelerators), Set.of(), Set.of(SERVICE)));
     }
 
     static Step step(int count, long accelerators, Step.Mode mode, boolean tight) {
-        Step.Constraints limits = new Step.Constraints("", "", 0, tight);
-        return new Step(count, new Resources(1_000, 1_000, accelerators), 5_000, List.of(), limits, mode);
+        Step.Constraints constraints = new Step.Constraints("", "", 0, tight);
+        return new Step(count, new Resources(1_000, 1_000, accelerators), 5_000, List.of(), constraints, mode);
     }
 
     static Step gang(int count, long accelerators, boolean tight) {
         return step(count, accelerators, new Step.Mode(true, false, false, false, false, 0), tight);
     }
 
-    static Step plain(int count, long accelerators) {
+    static Step independentTasks(int count, long accelerators) {
         return step(count, accelerators, Step.Mode.PLAIN, false);
     }
 
@@ -63,23 +64,23 @@
 
     void submit(Job job) {
         pool.submit(job);
-        settle();
+        schedulePass();
     }
 
-    /** Lets time pass and the pool decide. */
-    void pass(long passed) {
-        millis += passed;
-        settle();
+    /** Advances the clock and runs a scheduling pass. */
+    void advance(long elapsedMillis) {
+        millis += elapsedMillis;
+        schedulePass();
     }
 
-    /** Decides, makes durable, and lets the targets confirm starts. */
-    void settle() {
+    /** Runs a scheduling pass, persists its batch and confirms its starts. */
+    void schedulePass() {
         pool.schedule(now());
         for (TargetCommand.Stop stop : pool.takeStops()) {
             stops.add(stop);
         }
         Batch batch = pool.takeBatch();
-        batch.records().forEach(record -> durable.put(record.id(), record));
+        batch.records().forEach(record -> persisted.put(record.id(), record));
         for (TargetCommand.Start start : batch.starts()) {
             starts.add(start);
             running.put(start.task(), start);
@@ -87,45 +88,47 @@
         }
     }
 
-    /** The target lists the end of every run that was told to stop. */
-    void obeyStops() {
-        List<TargetCommand.Stop> told = List.copyOf(stops);
+    /** Reports the end of each run that was told to stop, and runs a scheduling pass. */
+    void completeStops() {
+        List<TargetCommand.Stop> pending = List.copyOf(stops);
         stops.clear();
-        told.forEach(stop -> end(stop.task(), TargetReport.EndReason.STOPPED));
-        settle();
+        pending.forEach(stop -> endRun(stop.task(), TargetReport.EndReason.STOPPED));
+        schedulePass();
     }
 
-    /** A running task ends. */
-    void end(TaskId task, TargetReport.EndReason how) {
+    /** Reports the end of a run and runs a scheduling pass. Has no effect if the task is not running. */
+    void endRun(TaskId task, TargetReport.EndReason reason) {
         TargetCommand.Start start = running.remove(task);
         if (start == null) {
             return;
         }
-        long number = ends.merge(start.target(), 1L, Long::sum);
-        report(start.target(), new TargetReport.Ended(number, task, start.run(), how, ""));
-        settle();
+        long number = endCounts.merge(start.target(), 1L, Long::sum);
+        report(start.target(), new TargetReport.Ended(number, task, start.run(), reason, ""));
+        schedulePass();
     }
 
     void report(String target, TargetReport.Ended... ended) {
         millis++;
-        long asked = now().monotonicNanos();
+        long requestNanos = now().monotonicNanos();
         millis++;
-        pool.handleReport(new TargetReport(target, lives.get(target), asked, runningOn(target), List.of(ended)), now());
+        pool.handleReport(
+                new TargetReport(target, incarnations.get(target), requestNanos, runningOn(target), List.of(ended)),
+                now());
     }
 
-    /** A target reports one run, {@code percent} done. */
-    void progress(TargetCommand.Start start, int percent) {
+    /** Reports a single run as {@code percent} done. */
+    void reportProgress(TargetCommand.Start start, int percent) {
         TargetReport.Running run = new TargetReport.Running(start.task(), start.run(), "", percent);
         pool.handleReport(new TargetReport(start.target(), 1, now().monotonicNanos(), List.of(run), List.of()), now());
     }
 
-    /** The target starts again under its id, with nothing running. */
-    void restart(String target, String rack) {
-        long life = lives.merge(target, 1L, Long::sum);
+    /** Restarts a target under its id, which ends its runs without a report. */
+    void restartTarget(String target, String rack) {
+        long incarnation = incarnations.merge(target, 1L, Long::sum);
         running.values().removeIf(start -> start.target().equals(target));
-        ends.remove(target);
-        pool.register(
-                new TargetInfo(target, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET, false, 0, life));
+        endCounts.remove(target);
+        pool.register(new TargetInfo(
+                target, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, false, 0, incarnation));
     }
 
     private List<TargetReport.Running> runningOn(String target) {
@@ -135,7 +138,7 @@
                 .toList();
     }
 
-    static TaskId task(String job, int index) {
+    static TaskId taskId(String job, int index) {
         return new TaskId(job, 0, 0, index);
     }
 }
--- /dev/null
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolSimulation.java
@@ -0,0 +1,313 @@
+package org.acaciaport.pool;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+
+/**
+ * A simulation of a pool under a random load in virtual time.
+ *
+ * <p>Targets are healthy and no command is lost, so that the results depend only on the decisions of the pool. The same
+ * seed gives the same results.
+ */
+final class PoolSimulation {
+    private static final int PASS_INTERVAL_MILLIS = 20;
+    private static final int START_LATENCY_MILLIS = 30;
+    private static final int STOP_LATENCY_MILLIS = 100;
+    private static final int REPORT_INTERVAL_MILLIS = 500;
+    private static final int DRAIN_MILLIS = 60_000;
+    private static final double CROSS_RACK_SLOWDOWN = 3;
+    private static final int ACCOUNT_COUNT = 4;
+
+    private final Deployment deployment;
+    private final RandomGenerator random;
+    private final Pool pool = new Pool();
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparingLong(Event::millis).thenComparingLong(Event::number));
+    private final Map<String, Submission> submissions = new LinkedHashMap<>();
+    private final Map<TaskId, Running> running = new HashMap<>();
+    private final Map<String, Long> endCounts = new HashMap<>();
+    private final Map<String, Long> doneMillis = new HashMap<>();
+    private double wastedCoreSeconds;
+    private long millis;
+    private long nextEventNumber;
+
+    /**
+     * The targets of a pool, and the load on them.
+     *
+     * @param targets number of targets
+     * @param rackSize number of targets in a rack
+     * @param target capacity of a target
+     * @param kinds kinds of request
+     * @param guaranteedFraction fraction of all accelerators that is guaranteed to the accounts, in equal parts
+     */
+    record Deployment(int targets, int rackSize, Resources target, List<WorkKind> kinds, double guaranteedFraction) {}
+
+    /** A period in which requests of one kind arrive {@code factor} times as often. */
+    record Burst(int kind, long fromMillis, long toMillis, double factor) {}
+
+    /**
+     * Results of one kind of request: earned fraction of its value, and numbers of requests in time, late and missed.
+     */
+    record KindResult(double valueFraction, int inTime, int late, int missed) {}
+
+    /**
+     * Results of a simulation: by kind, earned fraction of the total value, and work lost by stops, in core-seconds.
+     */
+    record Results(Map<String, KindResult> kinds, double valueFraction, double wastedCoreSeconds) {}
+
+    private record Event(long millis, long number, Runnable action) {}
+
+    private record Submission(WorkKind kind, WorkKind.Sample sample) {}
+
+    /** A run on a target. The runs of a gang make progress only once all of them have started. */
+    private static final class Running {
+        TargetCommand.Start start;
+        double startProgress;
+        long sinceMillis = -1;
+        double seconds;
+
+        double progress(long now) {
+            return sinceMillis < 0 ? startProgress : Math.min(1, startProgress + (now - sinceMillis) / 1e3 / seconds);
+        }
+    }
+
+    private PoolSimulation(Deployment deployment, RandomGenerator random) {
+        this.deployment = deployment;
+        this.random = random;
+    }
+
+    static Results simulate(Deployment deployment, long lengthMillis, List<Burst> bursts, RandomGenerator random) {
+        PoolSimulation simulation = new PoolSimulation(deployment, random);
+        simulation.registerTargets();
+        for (int kind = 0; kind < deployment.kinds().size(); kind++) {
+            simulation.scheduleArrivals(kind, lengthMillis, bursts);
+        }
+        simulation.schedulePass(lengthMillis + DRAIN_MILLIS);
+        while (!simulation.events.isEmpty()) {
+            Event event = simulation.events.remove();
+            simulation.millis = event.millis;
+            event.action.run();
+        }
+        return simulation.results();
+    }
+
+    private void schedule(long atMillis, Runnable action) {
+        events.add(new Event(atMillis, nextEventNumber++, action));
+    }
+
+    private ClockReading now() {
+        return new ClockReading((millis + 1) * 1_000_000, millis);
+    }
+
+    private void registerTargets() {
+        Map<String, Long> guarantees = new HashMap<>();
+        long totalAccelerators = deployment.targets * deployment.target.accelerators();
+        for (int i = 0; i < ACCOUNT_COUNT; i++) {
+            guarantees.put("account" + i, (long) (totalAccelerators * deployment.guaranteedFraction / ACCOUNT_COUNT));
+        }
+        pool.configure(new PoolSettings(guarantees, Set.of(), Set.of(PoolFixture.SERVICE)));
+        for (int i = 0; i < deployment.targets; i++) {
+            String id = "t%03d".formatted(i);
+            String rack = "r" + i / deployment.rackSize;
+            pool.register(new TargetInfo(
+                    id, PoolFixture.SERVICE, "address", "zone", rack, Set.of(rack), deployment.target, false, 0, 1));
+            schedule(i * REPORT_INTERVAL_MILLIS / deployment.targets, () -> reportPeriodically(id));
+        }
+    }
+
+    private void scheduleArrivals(int number, long lengthMillis, List<Burst> bursts) {
+        WorkKind kind = deployment.kinds().get(number);
+        long when = 0;
+        while (true) {
+            double rate = kind.perSecond();
+            for (Burst burst : bursts) {
+                if (burst.kind == number && when >= burst.fromMillis && when < burst.toMillis) {
+                    rate *= burst.factor;
+                }
+            }
+            when += (long) (-Math.log(1 - random.nextDouble()) / rate * 1_000) + 1;
+            if (when >= lengthMillis) {
+                return;
+            }
+            String id = "%s-%05d".formatted(kind.name(), when);
+            String account = "account" + Math.min(random.nextInt(ACCOUNT_COUNT), random.nextInt(ACCOUNT_COUNT));
+            WorkKind.Sample sample = kind.sample(id, account, when, random);
+            schedule(when, () -> {
+                submissions.put(id, new Submission(kind, sample));
+                pool.submit(sample.job());
+            });
+        }
+    }
+
+    private void schedulePass(long untilMillis) {
+        if (millis > untilMillis) {
+            events.clear();
+            return;
+        }
+        schedule(millis + PASS_INTERVAL_MILLIS, () -> {
+            pool.schedule(now());
+            pool.takeStops().forEach(stop -> schedule(millis + STOP_LATENCY_MILLIS, () -> handleStop(stop)));
+            Batch batch = pool.takeBatch();
+            batch.records().forEach(this::recordCompletion);
+            for (TargetCommand.Start start : batch.starts()) {
+                schedule(millis + START_LATENCY_MILLIS, () -> handleStart(start));
+            }
+            schedulePass(untilMillis);
+        });
+    }
+
+    private void recordCompletion(JobProgress progress) {
+        if (progress.state() == JobState.DONE) {
+            doneMillis.putIfAbsent(progress.id(), progress.endedMillis());
+        }
+    }
+
+    private void handleStart(TargetCommand.Start start) {
+        Submission submission = submissions.get(start.task().job());
+        Step step = submission.sample().job().steps().get(start.task().step());
+        Running run = new Running();
+        run.start = start;
+        run.startProgress = start.checkpoint().isEmpty() ? 0 : Double.parseDouble(start.checkpoint());
+        running.put(start.task(), run);
+        pool.handleStarted(start, now());
+        List<Running> active = activatedRuns(start, step);
+        if (active.isEmpty()) {
+            return;
+        }
+        Set<String> racks = new HashSet<>();
+        active.forEach(each -> racks.add(rackOf(each.start.target())));
+        double slowdown = step.constraints().tight() && racks.size() > 1 ? CROSS_RACK_SLOWDOWN : 1;
+        for (Running each : active) {
+            each.sinceMillis = millis;
+            each.seconds = submission.sample().taskSeconds()[start.task().step()] * slowdown;
+            long remaining = (long) Math.ceil((1 - each.startProgress) * each.seconds * 1_000);
+            schedule(millis + remaining, () -> handleDone(each));
+        }
+    }
+
+    /** Returns the runs that begin to make progress with {@code start}: its whole gang, the run alone, or none yet. */
+    private List<Running> activatedRuns(TargetCommand.Start start, Step step) {
+        if (!step.mode().gang()) {
+            return List.of(running.get(start.task()));
+        }
+        List<Running> gang = new ArrayList<>();
+        for (int i = 0; i < step.count(); i++) {
+            Running member = running.get(new TaskId(
+                    start.task().job(), start.task().occurrence(), start.task().step(), i));
+            if (member == null || member.start.run() != start.run()) {
+                return List.of();
+            }
+            gang.add(member);
+        }
+        return gang;
+    }
+
+    private String rackOf(String target) {
+        return "r" + Integer.parseInt(target.substring(1)) / deployment.rackSize;
+    }
+
+    private void handleDone(Running run) {
+        if (running.get(run.start.task()) == run) {
+            endRun(run, TargetReport.EndReason.DONE, "");
+        }
+    }
+
+    private void handleStop(TargetCommand.Stop stop) {
+        Running run = running.get(stop.task());
+        if (run == null || run.start.run() != stop.run()) {
+            return;
+        }
+        Step step = submissions
+                .get(stop.task().job())
+                .sample()
+                .job()
+                .steps()
+                .get(stop.task().step());
+        double progress = run.progress(millis);
+        boolean checkpoints = step.mode().checkpoint();
+        if (!checkpoints) {
+            wastedCoreSeconds +=
+                    (progress - run.startProgress) * run.seconds * step.demand().coreEquivalents();
+        }
+        endRun(run, TargetReport.EndReason.STOPPED, checkpoints ? Double.toString(progress) : "");
+    }
+
+    private void endRun(Running run, TargetReport.EndReason reason, String checkpoint) {
+        running.remove(run.start.task());
+        long number = endCounts.merge(run.start.target(), 1L, Long::sum);
+        report(
+                run.start.target(),
+                List.of(new TargetReport.Ended(number, run.start.task(), run.start.run(), reason, checkpoint)));
+    }
+
+    private void reportPeriodically(String target) {
+        report(target, List.of());
+        schedule(millis + REPORT_INTERVAL_MILLIS, () -> reportPeriodically(target));
+    }
+
+    private void report(String target, List<TargetReport.Ended> ended) {
+        List<TargetReport.Running> runs = new ArrayList<>();
+        for (Running run : running.values()) {
+            if (run.start.target().equals(target)) {
+                int percent = (int) (100 * run.progress(millis));
+                runs.add(new TargetReport.Running(run.start.task(), run.start.run(), "", percent));
+            }
+        }
+        pool.handleReport(new TargetReport(target, 1, now().monotonicNanos() - 1, runs, ended), now());
+    }
+
+    private Results results() {
+        Map<String, double[]> sums = new LinkedHashMap<>();
+        for (Submission submission : submissions.values()) {
+            WorkKind kind = submission.kind();
+            Job job = submission.sample().job();
+            double weight = 0.3 + 0.7 * Math.min(4, workCoreSeconds(submission) / meanWorkCoreSeconds(kind));
+            double[] sum = sums.computeIfAbsent(kind.name(), name -> new double[5]);
+            double objectiveMillis =
+                    kind.terms().stretch() * submission.sample().criticalPathSeconds() * 1_000
+                            + kind.terms().objectiveMillis();
+            long tookMillis = doneMillis.getOrDefault(job.id(), Long.MAX_VALUE / 2) - job.acceptedMillis();
+            int outcome = tookMillis > 3 * objectiveMillis ? 2 : tookMillis > objectiveMillis ? 1 : 0;
+            sum[0] += weight * kind.value();
+            sum[1] += weight * (outcome == 0 ? kind.value() : outcome == 1 ? kind.lateValue() : 0);
+            sum[2 + outcome]++;
+        }
+        Map<String, KindResult> kinds = new LinkedHashMap<>();
+        sums.forEach((name, sum) ->
+                kinds.put(name, new KindResult(sum[1] / sum[0], (int) sum[2], (int) sum[3], (int) sum[4])));
+        double maxValue = 0;
+        double earnedValue = 0;
+        for (double[] sum : sums.values()) {
+            maxValue += sum[0];
+            earnedValue += sum[1];
+        }
+        return new Results(kinds, earnedValue / maxValue, wastedCoreSeconds);
+    }
+
+    private static double workCoreSeconds(Submission submission) {
+        double sum = 0;
+        for (int i = 0; i < submission.sample().taskSeconds().length; i++) {
+            Step step = submission.sample().job().steps().get(i);
+            sum += step.count()
+                    * step.demand().coreEquivalents()
+                    * submission.sample().taskSeconds()[i];
+        }
+        return sum;
+    }
+
+    private static double meanWorkCoreSeconds(WorkKind kind) {
+        double accelerators = 0;
+        for (int each : kind.accelerators()) {
+            accelerators += (double) each / kind.accelerators().length;
+        }
+        return kind.meanSteps() * kind.meanTasks() * (kind.cores() + 8 * accelerators) * kind.meanSeconds();
+    }
+}
--- a/acacia-pool/src/test/java/org/acaciaport/pool/WorkKind.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/WorkKind.java
@@ -4,90 +4,91 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One kind of request of a deployment, from which jobs are drawn.
+ * A kind of request in a deployment, from which random jobs are sampled.
  *
- * @param name what it is called
- * @param perSecond mean number of requests a second
- * @param worth worth of a request in time
- * @param lateWorth worth of a request that is late but within three times its objective
- * @param terms how its queue treats jobs
- * @param meanSteps mean number of steps
+ * @param name name of the kind
+ * @param perSecond mean arrival rate, in requests per second
+ * @param value value of a request that completes in time
+ * @param lateValue value of a request that completes late but within three times its objective
+ * @param terms scheduling terms of the queue
+ * @param meanSteps mean number of steps, from 1 to 2
  * @param meanTasks mean number of tasks of a step
- * @param mostTasks largest number of tasks of a step
- * @param meanSeconds mean duration of a task
- * @param spread relative standard deviation of durations
- * @param mostSeconds longest duration of a task
- * @param cores processors of a task
+ * @param maxTasks maximum number of tasks of a step
+ * @param meanSeconds mean duration of a task, in seconds
+ * @param relativeDeviation relative standard deviation of the duration of a task
+ * @param maxSeconds maximum duration of a task, in seconds
+ * @param cores cores of a task
  * @param memoryMb memory of a task, in megabytes
- * @param accelerators numbers of accelerators of a task, drawn evenly
- * @param gang whether the tasks work only together
- * @param tight share of gangs that slow down on several racks
- * @param saving share of jobs that save their progress
- * @param estimateError standard deviation of the logarithm of estimate over duration
+ * @param accelerators numbers of accelerators of a task, sampled uniformly
+ * @param gang whether the tasks of a step form a gang
+ * @param tightFraction fraction of gangs that run slower on several racks
+ * @param checkpointFraction fraction of steps that write checkpoints
+ * @param estimateError standard deviation of the logarithm of the ratio of estimate to duration
  */
 record WorkKind(
         String name,
         double perSecond,
-        double worth,
-        double lateWorth,
+        double value,
+        double lateValue,
         Job.Terms terms,
         double meanSteps,
         double meanTasks,
-        int mostTasks,
+        int maxTasks,
         double meanSeconds,
-        double spread,
-        double mostSeconds,
+        double relativeDeviation,
+        double maxSeconds,
         int cores,
         int memoryMb,
         int[] accelerators,
         boolean gang,
-        double tight,
-        double saving,
+        double tightFraction,
+        double checkpointFraction,
         double estimateError) {
-    private static final double TASK_SPREAD = 0.8;
+    private static final double TASK_COUNT_RELATIVE_DEVIATION = 0.8;
 
-    /** A job and what its tasks really take. */
-    record Drawn(Job job, double[] seconds) {
-        double chainSeconds() {
+    /** A job, with the true duration of the tasks of each step, in seconds. */
+    record Sample(Job job, double[] taskSeconds) {
+        double criticalPathSeconds() {
             double sum = 0;
-            for (double each : seconds) {
+            for (double each : taskSeconds) {
                 sum += each;
             }
             return sum;
         }
     }
 
-    Drawn draw(String id, String account, long millis, RandomGenerator random) {
+    Sample sample(String id, String account, long millis, RandomGenerator random) {
         int count = 1 + (random.nextDouble() < meanSteps - 1 ? 1 : 0);
         Step[] steps = new Step[count];
         double[] seconds = new double[count];
         for (int i = 0; i < count; i++) {
-            seconds[i] = Math.min(mostSeconds, skewed(meanSeconds, spread, random));
-            int tasks = Math.clamp(Math.round(skewed(meanTasks, TASK_SPREAD, random)), 1, mostTasks);
-            steps[i] = step(i, tasks, seconds[i], random);
+            seconds[i] = Math.min(maxSeconds, logNormal(meanSeconds, relativeDeviation, random));
+            int tasks =
+                    Math.clamp(Math.round(logNormal(meanTasks, TASK_COUNT_RELATIVE_DEVIATION, random)), 1, maxTasks);
+            steps[i] = sampleStep(i, tasks, seconds[i], random);
         }
         Job job = new Job(
                 id, name, PoolFixture.SERVICE, account, terms, "payload", List.of(steps), Job.Schedule.NOW, millis);
-        return new Drawn(job, seconds);
+        return new Sample(job, seconds);
     }
 
-    private Step step(int number, int tasks, double seconds, RandomGenerator random) {
-        int taken = accelerators[random.nextInt(accelerators.length)];
-        boolean saves = random.nextDouble() < saving;
-        boolean oneRack = gang && tasks > 1 && random.nextDouble() < tight;
+    private Step sampleStep(int number, int tasks, double seconds, RandomGenerator random) {
+        int acceleratorCount = accelerators[random.nextInt(accelerators.length)];
+        boolean checkpoints = random.nextDouble() < checkpointFraction;
+        boolean oneRack = gang && tasks > 1 && random.nextDouble() < tightFraction;
         double estimate = seconds * Math.exp(estimateError * random.nextGaussian());
         return new Step(
                 tasks,
-                new Resources(cores * 1_000L, memoryMb, taken),
+                new Resources(cores * 1_000L, memoryMb, acceleratorCount),
                 Math.max(1, (long) (estimate * 1_000)),
                 number == 0 ? List.of() : List.of(number - 1),
                 new Step.Constraints("", "", 0, oneRack),
-                new Step.Mode(gang, saves, false, false, false, 0));
+                new Step.Mode(gang, checkpoints, false, false, false, 0));
     }
 
-    /** Draws from a log-normal distribution. */
-    private static double skewed(double mean, double relative, RandomGenerator random) {
-        double variance = Math.log(1 + relative * relative);
+    /** Returns a sample of a log-normal distribution. */
+    private static double logNormal(double mean, double relativeDeviation, RandomGenerator random) {
+        double variance = Math.log(1 + relativeDeviation * relativeDeviation);
         return mean * Math.exp(Math.sqrt(variance) * random.nextGaussian() - variance / 2);
     }
 }
