--- a/acacia-node/src/main/java/org/acaciaport/node/AnswerTime.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/AdaptiveTimeout.java
@@ -5,7 +5,7 @@
  *
  * <p>Safe for use by several threads.
  */
-final class AnswerTime {
+final class AdaptiveTimeout {
     /** Shortest wait, in milliseconds. */
     private static final long LEAST_MILLIS = 300;
 
--- a/acacia-node/src/main/java/org/acaciaport/node/OperatorView.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/ConfigurationView.java
@@ -13,35 +13,35 @@
  * <p>Safe for use by several threads. The version never falls while the process lives. Evacuations count once all
  * records are there, so that a re-read from the start does not end them for a moment.
  */
-final class OperatorView implements Follower.Sink {
-    private static final Logger LOG = Logger.getLogger(OperatorView.class);
+final class ConfigurationView implements TopicConsumer.Sink {
+    private static final Logger LOG = Logger.getLogger(ConfigurationView.class);
 
     private final OperatorCodec codec;
-    private final Set<String> asked = new TreeSet<>();
+    private final Set<String> requested = new TreeSet<>();
     private Set<String> evacuated = Set.of();
-    private AccessList accessList;
+    private OperatorConfiguration configuration;
     private ClockReading asOf;
     private Runnable listener = () -> {};
 
-    OperatorView(OperatorCodec codec) {
+    ConfigurationView(OperatorCodec codec) {
         this.codec = codec;
     }
 
     @Override
     public synchronized void reset() {
-        asked.clear();
+        requested.clear();
         asOf = null;
     }
 
     @Override
     public synchronized void apply(KeyedRecord record, long offset) {
         switch (codec.decodePublished(record)) {
-            case OperatorCodec.Published published -> publish(published.accessList());
+            case OperatorCodec.Published published -> publish(published.configuration());
             case OperatorCodec.Evacuation evacuation -> {
-                if (evacuation.asked()) {
-                    asked.add(evacuation.dataCentre());
+                if (evacuation.requested()) {
+                    requested.add(evacuation.dataCentre());
                 } else {
-                    asked.remove(evacuation.dataCentre());
+                    requested.remove(evacuation.dataCentre());
                 }
             }
             case OperatorCodec.Ignored ignored ->
@@ -49,32 +49,32 @@
         }
     }
 
-    private void publish(AccessList published) {
-        if (accessList != null && published.version() <= accessList.version()) {
+    private void publish(OperatorConfiguration published) {
+        if (configuration != null && published.version() <= configuration.version()) {
             return;
         }
-        accessList = published;
+        configuration = published;
         listener.run();
         LOG.infof(
                 "configuration: version=%s queues=%s accounts=%s outcome=in-force",
                 published.version(),
                 published.queues().size(),
-                published.guarantees().size());
+                published.guaranteedAccelerators().size());
     }
 
     @Override
     public synchronized void caughtUp(ClockReading moment, long next) {
         asOf = moment;
-        if (!evacuated.equals(asked)) {
-            evacuated = Set.copyOf(asked);
+        if (!evacuated.equals(requested)) {
+            evacuated = Set.copyOf(requested);
             LOG.infof("configuration: evacuated=%s offset=%s outcome=in-force", evacuated, next);
             listener.run();
         }
     }
 
     /** Returns the newest publication, or null if there is none yet. */
-    synchronized AccessList accessList() {
-        return accessList;
+    synchronized OperatorConfiguration configuration() {
+        return configuration;
     }
 
     /** Returns a moment as of which the publication is known to be the newest, or null if there is none. */
@@ -83,7 +83,7 @@
     }
 
     synchronized PoolSettings poolSettings() {
-        return accessList == null ? PoolSettings.EMPTY : accessList.poolSettings(evacuated);
+        return configuration == null ? PoolSettings.EMPTY : configuration.poolSettings(evacuated);
     }
 
     /** Calls {@code listener} after each change; it must not block. */
--- a/acacia-node/src/main/java/org/acaciaport/node/LogRoutes.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/FailoverLog.java
@@ -21,8 +21,8 @@
  * nothing was done on the first or a repeat is harmless; once one try had no answer, the outcome is never
  * {@link AppendOutcome.Refused}.
  */
-public final class LogRoutes implements KeyedLog, WireServer.Handler {
-    private static final Logger LOG = Logger.getLogger(LogRoutes.class);
+public final class FailoverLog implements KeyedLog, WireServer.Handler {
+    private static final Logger LOG = Logger.getLogger(FailoverLog.class);
 
     /** Pause between two probes of the direct way while it fails, in milliseconds. */
     private static final long PROBE_MILLIS = 400;
@@ -32,8 +32,8 @@
 
     private final KeyedLog direct;
     private final Peers peers;
-    private final AnswerTime directTime = new AnswerTime();
-    private final AnswerTime peerTime = new AnswerTime();
+    private final AdaptiveTimeout directTime = new AdaptiveTimeout();
+    private final AdaptiveTimeout peerTime = new AdaptiveTimeout();
     private volatile boolean directFails;
     private volatile boolean reachable = true;
     private volatile long probeAt;
@@ -41,7 +41,7 @@
     /** When a peer last answered or the log was last reached, on the steady clock, in nanoseconds. */
     private volatile long companyNanos = System.nanoTime();
 
-    LogRoutes(KeyedLog direct, Peers peers) {
+    FailoverLog(KeyedLog direct, Peers peers) {
         this.direct = direct;
         this.peers = peers;
     }
@@ -92,7 +92,7 @@
 
     /** Makes one call on one way; returns null if there was no usable answer in time. */
     private <T> T call(Way way, long waitMillis, long deadline, Call<T> call) {
-        AnswerTime time = way.isDirect() ? directTime : peerTime;
+        AdaptiveTimeout time = way.isDirect() ? directTime : peerTime;
         long millis = Math.max(1, Math.min(waitMillis + time.millis(), Clocks.millisUntil(deadline)));
         long begun = System.nanoTime();
         T outcome = way.isDirect() ? call.direct().apply(Clocks.in(millis)) : ask(way.peer(), call, millis);
@@ -159,7 +159,7 @@
                 until -> direct.append(append, until),
                 new Message.AppendLog(append),
                 reply -> reply instanceof Message.LogAppended answer ? answer.outcome() : null,
-                LogRoutes::answered);
+                FailoverLog::answered);
         boolean unknown = false;
         String reason = "no way to the log";
         for (Way way : waysToAppend()) {
--- a/acacia-node/src/main/java/org/acaciaport/node/Desk.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/JobService.java
@@ -17,8 +17,8 @@
  * <p>Safe for use by several threads. A job is accepted only once it is durable. A refusal means that this node has
  * written nothing for the request; when that is not known, the answer is {@link Answer.Undetermined}.
  */
-public final class Desk {
-    private static final Logger LOG = Logger.getLogger(Desk.class);
+public final class JobService {
+    private static final Logger LOG = Logger.getLogger(JobService.class);
 
     /** Age up to which the copy of the jobs may be used to say that there is no such job, in milliseconds. */
     private static final long FRESH_MILLIS = 1_000;
@@ -36,20 +36,24 @@
     private static final long ANSWER_MILLIS = 40;
 
     private final Topics topics;
-    private final LogRoutes log;
+    private final FailoverLog log;
     private final Replica replica;
-    private final Follower jobs;
-    private final OperatorView operators;
-    private final long evidenceMillis;
+    private final TopicConsumer jobs;
+    private final ConfigurationView operators;
+    private final long configurationMaxAgeMillis;
     private final MetricRegistry metrics;
 
-    Desk(Term.Parts parts, Follower jobs, long evidenceMillis, MetricRegistry metrics) {
-        this.topics = parts.topics();
-        this.log = parts.log();
-        this.replica = parts.replica();
-        this.operators = parts.operators();
+    JobService(
+            Term.Dependencies dependencies,
+            TopicConsumer jobs,
+            long configurationMaxAgeMillis,
+            MetricRegistry metrics) {
+        this.topics = dependencies.topics();
+        this.log = dependencies.log();
+        this.replica = dependencies.replica();
+        this.operators = dependencies.operators();
         this.jobs = jobs;
-        this.evidenceMillis = evidenceMillis;
+        this.configurationMaxAgeMillis = configurationMaxAgeMillis;
         this.metrics = metrics;
     }
 
@@ -60,9 +64,9 @@
          *
          * @param queue its queue
          * @param account the client account; empty on open queues
-         * @param rest what follows the queue's prefix in the path
+         * @param pathSuffix what follows the queue's prefix in the path
          */
-        record Granted(AccessList.Queue queue, String account, String rest) implements Access {}
+        record Granted(OperatorConfiguration.Queue queue, String account, String pathSuffix) implements Access {}
 
         /** There is no such queue. */
         record NoQueue() implements Access {}
@@ -71,7 +75,7 @@
         record UnknownKey() implements Access {}
 
         /** This node does not know for sure what is published now. */
-        record NotCurrent(String reason) implements Access {}
+        record StaleConfiguration(String reason) implements Access {}
     }
 
     /** What a caller is told. */
@@ -107,36 +111,36 @@
      * @param path path of the URL
      * @param key API key; null without one
      */
-    public Access access(String host, String path, String key) {
-        AccessList list = operators.accessList();
+    public Access authorize(String host, String path, String key) {
+        OperatorConfiguration configuration = operators.configuration();
         ClockReading asOf = operators.asOf();
-        if (list == null || asOf == null) {
-            return new Access.NotCurrent("no configuration yet");
+        if (configuration == null || asOf == null) {
+            return new Access.StaleConfiguration("no configuration yet");
         }
         long age = Clocks.age(asOf);
-        if (age > evidenceMillis) {
-            return new Access.NotCurrent("configuration was last confirmed " + age + " ms ago");
+        if (age > configurationMaxAgeMillis) {
+            return new Access.StaleConfiguration("configuration was last confirmed " + age + " ms ago");
         }
-        AccessList.Queue queue = list.queue(host, path);
+        OperatorConfiguration.Queue queue = configuration.findQueue(host, path);
         if (queue == null) {
             return new Access.NoQueue();
         }
-        String account = key == null ? null : list.accounts().get(key);
-        if (account == null && !queue.open()) {
+        String account = key == null ? null : configuration.accountsByKey().get(key);
+        if (account == null && !queue.allowsAnonymous()) {
             return new Access.UnknownKey();
         }
-        String rest = path.substring(queue.prefix().length());
-        return new Access.Granted(queue, account == null ? "" : account, rest);
+        String pathSuffix = path.substring(queue.prefix().length());
+        return new Access.Granted(queue, account == null ? "" : account, pathSuffix);
     }
 
     /** Returns whether this node can serve, as far as it knows. */
-    public boolean ready() {
+    public boolean isReady() {
         ClockReading asOf = operators.asOf();
         ClockReading copy = replica.asOf();
         return asOf != null
                 && copy != null
-                && operators.accessList() != null
-                && Clocks.age(asOf) < evidenceMillis
+                && operators.configuration() != null
+                && Clocks.age(asOf) < configurationMaxAgeMillis
                 && Clocks.age(copy) < READY_MILLIS;
     }
 
@@ -155,7 +159,7 @@
         if (known != null) {
             return new Answer.Accepted();
         }
-        AccessList.Queue queue = access.queue();
+        OperatorConfiguration.Queue queue = access.queue();
         Job job = new Job(
                 id,
                 queue.name(),
@@ -225,7 +229,7 @@
     }
 
     /** Says how far a job is. */
-    public Answer state(Access.Granted access, String id, long deadline) {
+    public Answer queryState(Access.Granted access, String id, long deadline) {
         try {
             JobEntry entry = find(access, id, deadline);
             return entry == null ? new Answer.NoJob() : new Answer.State(entry.state());
@@ -253,10 +257,10 @@
     }
 
     /** Returns how many accepted jobs of the queue have no started task, or -1 if that is not known. */
-    public long pending(Access.Granted access) {
+    public long countPending(Access.Granted access) {
         ClockReading asOf = replica.asOf();
         return asOf == null || Clocks.age(asOf) > FRESH_MILLIS
                 ? -1
-                : replica.pending(access.queue().name());
+                : replica.countPending(access.queue().name());
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/Leadership.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/LeaderElection.java
@@ -13,8 +13,8 @@
  * <p>Runs on a thread of its own. A claim is appended only where this node's copy of the log ends, so of several nodes
  * one succeeds; the offset of its record is the epoch of the term, which no other term can have.
  */
-final class Leadership {
-    private static final Logger LOG = Logger.getLogger(Leadership.class);
+final class LeaderElection {
+    private static final Logger LOG = Logger.getLogger(LeaderElection.class);
     private static final long LOOK_MILLIS = 25;
 
     /** Silence after which a leader counts as lost, in milliseconds; a few of its pauses between records. */
@@ -29,16 +29,16 @@
     private static final long CLAIM_MILLIS = 1_500;
 
     private final LeaderRecord self;
-    private final Term.Parts parts;
-    private final Follower jobs;
+    private final Term.Dependencies dependencies;
+    private final TopicConsumer jobs;
     private final SplittableRandom random;
     private volatile boolean stopped;
     private volatile Term term;
     private Thread thread;
 
-    Leadership(LeaderRecord self, Term.Parts parts, Follower jobs, SplittableRandom random) {
+    LeaderElection(LeaderRecord self, Term.Dependencies dependencies, TopicConsumer jobs, SplittableRandom random) {
         this.self = self;
-        this.parts = parts;
+        this.dependencies = dependencies;
         this.jobs = jobs;
         this.random = random;
     }
@@ -65,8 +65,8 @@
 
     /** Returns whether the log, read up to now, shows no living leader. */
     private boolean vacant() {
-        ClockReading asOf = parts.replica().asOf();
-        if (asOf == null || parts.operators().accessList() == null || !silent(asOf)) {
+        ClockReading asOf = dependencies.replica().asOf();
+        if (asOf == null || dependencies.operators().configuration() == null || !silent(asOf)) {
             return false;
         }
         Clocks.sleep(random.nextInt(JITTER_MILLIS));
@@ -74,9 +74,9 @@
         if (!jobs.catchUp(Clocks.in(CLAIM_MILLIS))) {
             return false;
         }
-        ClockReading fresh = parts.replica().asOf();
+        ClockReading fresh = dependencies.replica().asOf();
         long took = Clocks.now().millisSince(asked.monotonicNanos());
-        Replica.Leader leader = parts.replica().leader();
+        Replica.Leader leader = dependencies.replica().leader();
         if (fresh == null || over(leader)) {
             return fresh != null;
         }
@@ -84,7 +84,7 @@
     }
 
     private boolean silent(ClockReading asOf) {
-        Replica.Leader leader = parts.replica().leader();
+        Replica.Leader leader = dependencies.replica().leader();
         return over(leader) || asOf.millisSince(leader.heardNanos()) > SILENCE_MILLIS;
     }
 
@@ -94,19 +94,21 @@
     }
 
     private void lead() {
-        long end = parts.replica().next();
-        Append claim = new Append(parts.topics().jobs(), List.of(JobRecords.leader(self)), new Append.AtEnd(end));
-        AppendOutcome outcome = parts.log().append(claim, Clocks.in(CLAIM_MILLIS));
+        long end = dependencies.replica().next();
+        Append claim =
+                new Append(dependencies.topics().jobs(), List.of(JobRecords.leader(self)), new Append.AtEnd(end));
+        AppendOutcome outcome = dependencies.log().append(claim, Clocks.in(CLAIM_MILLIS));
         LOG.infof("lead: step=claim at=%s outcome=%s", end, outcome);
         if (!(outcome instanceof AppendOutcome.Appended appended)) {
             return;
         }
         long epoch = appended.offset();
-        TermLog termLog = new TermLog(parts.log(), parts.topics().jobs(), epoch);
+        LeaderLogWriter termLog =
+                new LeaderLogWriter(dependencies.log(), dependencies.topics().jobs(), epoch);
         if (!termLog.bar() || !jobs.catchUp(Clocks.in(CLAIM_MILLIS))) {
             return;
         }
-        Term next = new Term(self, epoch, termLog, parts);
+        Term next = new Term(self, epoch, termLog, dependencies);
         term = next;
         jobs.hurry(true);
         if (!stopped) {
--- a/acacia-node/src/main/java/org/acaciaport/node/TermLog.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/LeaderLogWriter.java
@@ -13,8 +13,8 @@
  *
  * <p>One append at a time; {@link #confirmed} may be called by any thread.
  */
-final class TermLog {
-    private static final Logger LOG = Logger.getLogger(TermLog.class);
+final class LeaderLogWriter {
+    private static final Logger LOG = Logger.getLogger(LeaderLogWriter.class);
     private static final String WRITER = "leader";
     private static final long TRY_MILLIS = 2_500;
     private static final long PAUSE_MILLIS = 50;
@@ -25,7 +25,7 @@
     private long sequence;
     private volatile ClockReading confirmed;
 
-    TermLog(KeyedLog log, String topic, long epoch) {
+    LeaderLogWriter(KeyedLog log, String topic, long epoch) {
         this.log = log;
         this.topic = topic;
         this.epoch = epoch;
--- a/acacia-node/src/main/java/org/acaciaport/node/Node.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Node.java
@@ -34,12 +34,12 @@
     private static final long ANNOUNCE_PAUSE_MILLIS = 300;
 
     private final Settings settings;
-    private final LogRoutes log;
+    private final FailoverLog log;
     private final Replica replica = new Replica();
-    private final Follower jobs;
-    private final Follower operatorFollower;
-    private final Leadership leadership;
-    private final Desk desk;
+    private final TopicConsumer jobs;
+    private final TopicConsumer operatorFollower;
+    private final LeaderElection leadership;
+    private final JobService jobService;
     private WireServer server;
 
     /**
@@ -49,10 +49,14 @@
      * @param wire address of its wire protocol
      * @param seeds addresses of other nodes, which may be stale
      * @param topics names of topics
-     * @param evidenceMillis age up to which the operators' publications count as current, in milliseconds
+     * @param configurationMaxAgeMillis age up to which the operators' publications count as current, in milliseconds
      */
     public record Settings(
-            String name, InetSocketAddress wire, Supplier<List<String>> seeds, Topics topics, long evidenceMillis) {}
+            String name,
+            InetSocketAddress wire,
+            Supplier<List<String>> seeds,
+            Topics topics,
+            long configurationMaxAgeMillis) {}
 
     /**
      * How a node reaches the outside.
@@ -67,17 +71,21 @@
     /** Creates a node; {@link #start} starts it. */
     public Node(Settings settings, Ports ports, MetricRegistry metrics) {
         this.settings = settings;
-        log = new LogRoutes(ports.log(), new Peers(address(settings.wire()), this::others));
-        OperatorView operators = new OperatorView(ports.operators());
-        Term.Parts parts = new Term.Parts(replica, operators, ports.calls(), settings.topics(), log, ports.targets());
-        jobs = new Follower(
-                settings.topics().jobs(), log, new Follower.Pace(JOBS_WAIT_MILLIS, JOBS_PAUSE_MILLIS), replica);
-        Follower.Pace operatorPace = new Follower.Pace(OPERATORS_WAIT_MILLIS, 0);
-        operatorFollower = new Follower(settings.topics().operators(), log, operatorPace, operators);
+        log = new FailoverLog(ports.log(), new Peers(address(settings.wire()), this::others));
+        ConfigurationView operators = new ConfigurationView(ports.operators());
+        Term.Dependencies dependencies =
+                new Term.Dependencies(replica, operators, ports.calls(), settings.topics(), log, ports.targets());
+        jobs = new TopicConsumer(
+                settings.topics().jobs(),
+                log,
+                new TopicConsumer.PollSettings(JOBS_WAIT_MILLIS, JOBS_PAUSE_MILLIS),
+                replica);
+        TopicConsumer.PollSettings operatorPace = new TopicConsumer.PollSettings(OPERATORS_WAIT_MILLIS, 0);
+        operatorFollower = new TopicConsumer(settings.topics().operators(), log, operatorPace, operators);
         SplittableRandom random = new SplittableRandom(System.nanoTime());
         LeaderRecord self = new LeaderRecord(settings.name(), System.currentTimeMillis(), false);
-        leadership = new Leadership(self, parts, jobs, random);
-        desk = new Desk(parts, jobs, settings.evidenceMillis(), metrics);
+        leadership = new LeaderElection(self, dependencies, jobs, random);
+        jobService = new JobService(dependencies, jobs, settings.configurationMaxAgeMillis(), metrics);
     }
 
     private static String address(InetSocketAddress address) {
@@ -126,8 +134,8 @@
     }
 
     /** Returns what answers callers. */
-    public Desk desk() {
-        return desk;
+    public JobService jobService() {
+        return jobService;
     }
 
     /** Hands the lead over, if it is here. Callers are still answered. */
--- a/acacia-node/src/main/java/org/acaciaport/node/OperatorCodec.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OperatorCodec.java
@@ -11,15 +11,15 @@
     sealed interface Entry {}
 
     /** A publication in full. */
-    record Published(AccessList accessList) implements Entry {}
+    record Published(OperatorConfiguration configuration) implements Entry {}
 
     /**
      * A data centre is to take no new work, or may again.
      *
      * @param dataCentre its name
-     * @param asked whether it is to take none
+     * @param requested whether it is to take none
      */
-    record Evacuation(String dataCentre, boolean asked) implements Entry {}
+    record Evacuation(String dataCentre, boolean requested) implements Entry {}
 
     /** Nothing that this program uses. */
     record Ignored(String reason) implements Entry {}
--- a/acacia-node/src/main/java/org/acaciaport/node/AccessList.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OperatorConfiguration.java
@@ -13,21 +13,21 @@
  *
  * @param version number of the publication
  * @param queues the queues
- * @param accounts client account of each API key
- * @param guarantees guaranteed accelerators of each client account
+ * @param accountsByKey client account of each API key
+ * @param guaranteedAccelerators guaranteed accelerators of each client account
  * @param services the services
  */
-public record AccessList(
+public record OperatorConfiguration(
         long version,
         List<Queue> queues,
-        Map<String, String> accounts,
-        Map<String, Long> guarantees,
+        Map<String, String> accountsByKey,
+        Map<String, Long> guaranteedAccelerators,
         Set<String> services) {
     /** Copies the collections. */
-    public AccessList {
+    public OperatorConfiguration {
         queues = List.copyOf(queues);
-        accounts = Map.copyOf(accounts);
-        guarantees = Map.copyOf(guarantees);
+        accountsByKey = Map.copyOf(accountsByKey);
+        guaranteedAccelerators = Map.copyOf(guaranteedAccelerators);
         services = Set.copyOf(services);
     }
 
@@ -38,13 +38,14 @@
      * @param host host of its URLs
      * @param prefix beginning of the path of its URLs
      * @param service the service whose targets run its tasks
-     * @param open whether no key is needed
+     * @param allowsAnonymous whether no key is needed
      * @param terms how it treats its jobs
      */
-    public record Queue(String name, String host, String prefix, String service, boolean open, Job.Terms terms) {}
+    public record Queue(
+            String name, String host, String prefix, String service, boolean allowsAnonymous, Job.Terms terms) {}
 
     /** Returns the queue with the longest prefix of {@code path} on {@code host}, or null. */
-    Queue queue(String host, String path) {
+    Queue findQueue(String host, String path) {
         Queue best = null;
         for (Queue queue : queues) {
             boolean matches = queue.host().equalsIgnoreCase(host) && path.startsWith(queue.prefix());
@@ -57,6 +58,6 @@
     }
 
     PoolSettings poolSettings(Set<String> evacuated) {
-        return new PoolSettings(guarantees, evacuated, services);
+        return new PoolSettings(guaranteedAccelerators, evacuated, services);
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/Orphans.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OrphanDetector.java
@@ -11,7 +11,7 @@
  *
  * <p>Immutable. Such work counts as over once no lease that an earlier leader may have granted can run any more.
  */
-final class Orphans {
+final class OrphanDetector {
     private final long leasesOverNanos;
 
     /**
@@ -19,7 +19,7 @@
      *
      * @param leasesOverNanos when the leases of earlier leaders are over, on the steady clock, in nanoseconds
      */
-    Orphans(long leasesOverNanos) {
+    OrphanDetector(long leasesOverNanos) {
         this.leasesOverNanos = leasesOverNanos;
     }
 
--- a/acacia-node/src/main/java/org/acaciaport/node/Registry.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/RegistrationTracker.java
@@ -10,13 +10,13 @@
  *
  * <p>Used under its follower's lock. Targets that a re-read from the start no longer shows count as unregistered.
  */
-final class Registry implements Follower.Sink {
+final class RegistrationTracker implements TopicConsumer.Sink {
     private final TargetCodec codec;
     private final Term term;
     private final Set<String> known = new HashSet<>();
     private final Set<String> unseen = new HashSet<>();
 
-    Registry(TargetCodec codec, Term term) {
+    RegistrationTracker(TargetCodec codec, Term term) {
         this.codec = codec;
         this.term = term;
     }
@@ -28,7 +28,7 @@
 
     @Override
     public void apply(KeyedRecord record, long offset) {
-        codec.id(record).ifPresent(id -> {
+        codec.targetId(record).ifPresent(id -> {
             if (record.value().length == 0) {
                 drop(id);
                 return;
--- a/acacia-node/src/main/java/org/acaciaport/node/Replica.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Replica.java
@@ -19,7 +19,7 @@
  *
  * <p>Safe for use by several threads. {@code asOf} is a moment at which the copy was complete, null after a reset.
  */
-final class Replica implements Follower.Sink {
+final class Replica implements TopicConsumer.Sink {
     private static final Logger LOG = Logger.getLogger(Replica.class);
 
     /** Takes jobs and cancellings as they arrive. Called under the replica's lock; must not block. */
@@ -151,7 +151,7 @@
     }
 
     /** Returns how many jobs of {@code queue} have no started task. */
-    synchronized long pending(String queue) {
+    synchronized long countPending(String queue) {
         long pending = 0;
         for (JobEntry entry : jobs.values()) {
             if (entry.job() != null && entry.job().queue().equals(queue) && entry.state() == JobState.QUEUED) {
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetCalls.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetCalls.java
@@ -12,7 +12,7 @@
      * @param id its name; another target at the address does nothing
      * @param address host and port
      */
-    record Address(String id, String address) {}
+    record Endpoint(String id, String address) {}
 
     /**
      * An order to start a run.
@@ -20,30 +20,30 @@
      * @param task the task
      * @param run number of the start
      * @param payload text for the task
-     * @param saved checkpoint to go on from; empty for none
-     * @param leaseMillis end of the lease, on the target's clock, in milliseconds
+     * @param checkpoint checkpoint to go on from; empty for none
+     * @param leaseEndMillis end of the lease, on the target's clock, in milliseconds
      * @param fence fencing token
      */
-    record StartCall(TaskId task, int run, String payload, String saved, long leaseMillis, long fence) {}
+    record StartRequest(TaskId task, int run, String payload, String checkpoint, long leaseEndMillis, long fence) {}
 
     /**
      * Asks for a report, and renews the lease.
      *
      * @param fence fencing token
      * @param acknowledged number of the last end that need not be listed again
-     * @param leaseMillis end of the lease, on the target's clock, in milliseconds; empty to leave it
+     * @param leaseEndMillis end of the lease, on the target's clock, in milliseconds; empty to leave it
      * @param waitMillis how long to wait for an end, in milliseconds
      */
-    record ReportCall(long fence, long acknowledged, OptionalLong leaseMillis, long waitMillis) {}
+    record ReportRequest(long fence, long acknowledged, OptionalLong leaseEndMillis, long waitMillis) {}
 
-    /** Starts a run; waits up to {@code millis} milliseconds. */
-    OrderReply start(Address target, StartCall call, long millis);
+    /** Starts a run; waits up to {@code timeoutMillis} milliseconds. */
+    OrderReply start(Endpoint target, StartRequest call, long timeoutMillis);
 
-    /** Stops a run, and bars it if it has not begun; waits up to {@code millis} milliseconds. */
-    OrderReply stop(Address target, TaskId task, int run, long fence, long millis);
+    /** Stops a run, and bars it if it has not begun; waits up to {@code timeoutMillis} milliseconds. */
+    OrderReply stop(Endpoint target, TaskId task, int run, long fence, long timeoutMillis);
 
-    /** Asks for a report; waits up to {@code millis} milliseconds. */
-    ReportReply report(Address target, ReportCall call, long millis);
+    /** Asks for a report; waits up to {@code timeoutMillis} milliseconds. */
+    ReportReply report(Endpoint target, ReportRequest call, long timeoutMillis);
 
     /** What came back for an order. */
     sealed interface OrderReply {}
@@ -72,10 +72,10 @@
     /**
      * The order was not carried out and will not be.
      *
-     * @param why the kind of refusal
+     * @param reason why the target refused
      * @param clockMillis reading of the target's clock, if it said so
      */
-    record Refused(Why why, OptionalLong clockMillis) implements Failure {}
+    record Refused(RefusalReason reason, OptionalLong clockMillis) implements Failure {}
 
     /**
      * The order may have been carried out, or may be later.
@@ -85,7 +85,7 @@
     record NoAnswer(String reason) implements Failure {}
 
     /** Why a target refuses. */
-    enum Why {
+    enum RefusalReason {
         /** It has seen a higher fencing token. */
         FENCE,
         /** It has seen an end of this run or a later one. */
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
@@ -70,7 +70,7 @@
     private final Events events;
     private final long firstFence;
     private final List<Uncertain> uncertain = new ArrayList<>();
-    private TargetCalls.Address address;
+    private TargetCalls.Endpoint address;
     private long raised;
     private long incarnation;
     private long acknowledged;
@@ -81,7 +81,8 @@
     private boolean silent;
     private Thread thread;
 
-    TargetSession(TargetCalls.Address address, TargetCalls calls, Events events, long firstFence, long inheritedNanos) {
+    TargetSession(
+            TargetCalls.Endpoint address, TargetCalls calls, Events events, long firstFence, long inheritedNanos) {
         this.id = address.id();
         this.address = address;
         this.calls = calls;
@@ -90,7 +91,7 @@
         lease = new TargetLease(inheritedNanos);
     }
 
-    synchronized void address(TargetCalls.Address changed) {
+    synchronized void address(TargetCalls.Endpoint changed) {
         address = changed;
     }
 
@@ -174,11 +175,11 @@
 
     private boolean reportOnce(long waitMillis) {
         long fence = fence();
-        TargetCalls.ReportCall call;
-        TargetCalls.Address to;
+        TargetCalls.ReportRequest call;
+        TargetCalls.Endpoint to;
         synchronized (this) {
             OptionalLong until = silent ? OptionalLong.empty() : lease.extend();
-            call = new TargetCalls.ReportCall(fence, acknowledged, until, waitMillis);
+            call = new TargetCalls.ReportRequest(fence, acknowledged, until, waitMillis);
             to = address;
         }
         switch (calls.report(to, call, waitMillis + REPORT_ANSWER_MILLIS)) {
@@ -252,10 +253,10 @@
     }
 
     private void refused(TargetCalls.Refused refused, long fence) {
-        if (refused.why() == TargetCalls.Why.FENCE && fence == fence()) {
+        if (refused.reason() == TargetCalls.RefusalReason.FENCE && fence == fence()) {
             events.deposed(id);
         }
-        if (refused.why() == TargetCalls.Why.OTHER_TARGET) {
+        if (refused.reason() == TargetCalls.RefusalReason.OTHER_TARGET) {
             noAnswer("another target at the address");
         }
     }
@@ -284,15 +285,15 @@
     }
 
     private void send(TargetCommand.Start start, long firstNanos) {
-        TargetCalls.StartCall call;
-        TargetCalls.Address to;
+        TargetCalls.StartRequest call;
+        TargetCalls.Endpoint to;
         synchronized (this) {
             OptionalLong until = lease.extend();
             if (until.isEmpty() || closed || !events.leads()) {
                 events.notStarted(start, "not verified", 0);
                 return;
             }
-            call = new TargetCalls.StartCall(
+            call = new TargetCalls.StartRequest(
                     start.task(), start.run(), start.payload(), start.checkpoint(), until.getAsLong(), fence());
             to = address;
         }
@@ -318,9 +319,9 @@
     }
 
     private void startRefused(
-            TargetCommand.Start start, TargetCalls.StartCall call, TargetCalls.Refused refused, long firstNanos) {
+            TargetCommand.Start start, TargetCalls.StartRequest call, TargetCalls.Refused refused, long firstNanos) {
         refused.clockMillis().ifPresent(this::clock);
-        switch (refused.why()) {
+        switch (refused.reason()) {
             case FENCE -> {
                 if (call.fence() < fence() && recent(firstNanos)) {
                     send(start, firstNanos);
@@ -342,13 +343,13 @@
             case ROOM -> events.notStarted(start, "no room", PAUSE_MILLIS);
             case UNKNOWN_TASK -> events.notStarted(start, "unknown task", 0);
             case UNHEALTHY, OTHER_TARGET ->
-                events.notStarted(start, refused.why().name(), AVOID_MILLIS);
+                events.notStarted(start, refused.reason().name(), AVOID_MILLIS);
         }
     }
 
     /** Sends a stop. One without an answer is sent again when a report still shows the run. */
     void stop(TargetCommand.Stop stop) {
-        TargetCalls.Address to;
+        TargetCalls.Endpoint to;
         synchronized (this) {
             to = address;
         }
--- a/acacia-node/src/main/java/org/acaciaport/node/Term.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Term.java
@@ -49,18 +49,18 @@
 
     private final LeaderRecord self;
     private final long epoch;
-    private final TermLog termLog;
+    private final LeaderLogWriter termLog;
     private final Replica replica;
-    private final OperatorView operators;
+    private final ConfigurationView operators;
     private final TargetCalls calls;
-    private final Follower registry;
+    private final TopicConsumer registry;
     private final Pool pool = new Pool();
     private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
     private final Map<String, TargetSession> sessions = new HashMap<>();
     private final Map<String, TargetInfo> registered = new HashMap<>();
     private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
     private final long begunInheritedNanos;
-    private final Orphans orphans;
+    private final OrphanDetector orphans;
     private final List<KeyedRecord> extra = new ArrayList<>();
     private volatile boolean over;
     private volatile boolean resigning;
@@ -68,18 +68,22 @@
     private long beatNanos;
     private long purgeNanos;
 
-    Term(LeaderRecord self, long epoch, TermLog termLog, Parts parts) {
+    Term(LeaderRecord self, long epoch, LeaderLogWriter termLog, Dependencies dependencies) {
         this.self = self;
         this.epoch = epoch;
         this.termLog = termLog;
-        this.replica = parts.replica();
-        this.operators = parts.operators();
-        this.calls = parts.calls();
-        Follower.Pace pace = new Follower.Pace(0, REGISTRY_PAUSE_MILLIS);
-        registry = new Follower(parts.topics().targets(), parts.log(), pace, new Registry(parts.codec(), this));
+        this.replica = dependencies.replica();
+        this.operators = dependencies.operators();
+        this.calls = dependencies.calls();
+        TopicConsumer.PollSettings pace = new TopicConsumer.PollSettings(0, REGISTRY_PAUSE_MILLIS);
+        registry = new TopicConsumer(
+                dependencies.topics().targets(),
+                dependencies.log(),
+                pace,
+                new RegistrationTracker(dependencies.codec(), this));
         ClockReading now = Clocks.now();
         begunInheritedNanos = TargetLease.inherited(now, UNCONFIRMED_MILLIS);
-        orphans = new Orphans(begunInheritedNanos);
+        orphans = new OrphanDetector(begunInheritedNanos);
         purgeNanos = now.monotonicNanos();
     }
 
@@ -93,12 +97,12 @@
      * @param log the shared log
      * @param codec decodes registrations
      */
-    record Parts(
+    record Dependencies(
             Replica replica,
-            OperatorView operators,
+            ConfigurationView operators,
             TargetCalls calls,
             Topics topics,
-            LogRoutes log,
+            FailoverLog log,
             TargetCodec codec) {}
 
     /** Leads until the term is over. */
@@ -236,7 +240,7 @@
         TargetSession session = sessions.get(id);
         TargetInfo info = registered.get(id);
         if (session == null && info != null) {
-            TargetCalls.Address address = new TargetCalls.Address(id, info.address());
+            TargetCalls.Endpoint address = new TargetCalls.Endpoint(id, info.address());
             session = new TargetSession(address, calls, this, epoch << FENCE_BITS, begunInheritedNanos);
             sessions.put(id, session);
         }
@@ -254,7 +258,7 @@
             }
             pool.register(info);
             TargetSession session = session(info.id());
-            session.address(new TargetCalls.Address(info.id(), info.address()));
+            session.address(new TargetCalls.Endpoint(info.id(), info.address()));
             session.verify(info.incarnation());
         });
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/Follower.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TopicConsumer.java
@@ -15,8 +15,8 @@
  * needs have expired. The first read after one that failed does not wait for news, so that the copy counts as current
  * as soon as the log is back. {@link #catchUp} may be called by any thread.
  */
-final class Follower {
-    private static final Logger LOG = Logger.getLogger(Follower.class);
+final class TopicConsumer {
+    private static final Logger LOG = Logger.getLogger(TopicConsumer.class);
 
     /** Time allowed to an answer beyond the wait that was asked for, in milliseconds. */
     private static final long ANSWER_MILLIS = 2_500;
@@ -46,12 +46,12 @@
      * @param waitMillis longest wait of a read for a record, in milliseconds
      * @param pauseMillis pause between two reads, in milliseconds
      */
-    record Pace(long waitMillis, long pauseMillis) {}
+    record PollSettings(long waitMillis, long pauseMillis) {}
 
     private final String topic;
     private final KeyedLog log;
     private final Sink sink;
-    private final Pace pace;
+    private final PollSettings pace;
     private volatile long pauseMillis;
     private final Object lock = new Object();
     private final Thread thread;
@@ -59,7 +59,7 @@
     private long next = -1;
     private boolean lost;
 
-    Follower(String topic, KeyedLog log, Pace pace, Sink sink) {
+    TopicConsumer(String topic, KeyedLog log, PollSettings pace, Sink sink) {
         this.topic = topic;
         this.log = log;
         this.pace = pace;
--- a/acacia-node/src/main/java/org/acaciaport/node/package-info.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/package-info.java
@@ -1,8 +1,8 @@
 /**
- * One VM's part of the scheduler: it accepts requests, follows the shared log, and leads the pool when no other does.
+ * The scheduler process of one VM: accepts jobs, replicates the shared log, and schedules while it is the leader.
  *
- * <p>A request enters at {@link org.acaciaport.node.Desk}, becomes durable in the log, reaches the pool of the leader
- * through {@link org.acaciaport.node.Replica}, and its tasks reach targets through
- * {@link org.acaciaport.node.TargetSession}. Start with {@link org.acaciaport.node.Node}.
+ * <p>A job enters through {@link org.acaciaport.node.JobService}, is made durable in the log, and reaches the leader's
+ * pool through {@link org.acaciaport.node.Replica}. Its tasks are started on targets by
+ * {@link org.acaciaport.node.TargetSession}. {@link org.acaciaport.node.Node} is the entry point.
  */
 package org.acaciaport.node;
--- a/acacia-node/src/test/java/org/acaciaport/node/LeadershipTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LeaderElectionTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who takes the lead and when, against a log in memory. */
-final class LeadershipTest {
+final class LeaderElectionTest {
     private static final Topics TOPICS = new Topics("jobs", "operators", "targets");
     private static final LeaderRecord SELF = new LeaderRecord("node", 2_000, false);
 
@@ -25,16 +25,18 @@
 
     private final MemoryLog log = new MemoryLog();
     private final Replica replica = new Replica();
-    private final LogRoutes routes = new LogRoutes(log, new Peers("self:1", List::of));
-    private final Follower jobs = new Follower(TOPICS.jobs(), routes, new Follower.Pace(0, 1), replica);
+    private final FailoverLog routes = new FailoverLog(log, new Peers("self:1", List::of));
+    private final TopicConsumer jobs =
+            new TopicConsumer(TOPICS.jobs(), routes, new TopicConsumer.PollSettings(0, 1), replica);
 
-    private Leadership leadership() {
-        OperatorView operators = new OperatorView(
-                record -> new OperatorCodec.Published(new AccessList(1, List.of(), Map.of(), Map.of(), Set.of("s"))));
+    private LeaderElection leadership() {
+        ConfigurationView operators = new ConfigurationView(record ->
+                new OperatorCodec.Published(new OperatorConfiguration(1, List.of(), Map.of(), Map.of(), Set.of("s"))));
         operators.apply(KeyedRecord.drop("config"), 0);
         operators.caughtUp(Clocks.now(), 1);
-        Term.Parts parts = new Term.Parts(replica, operators, null, TOPICS, routes, new NoTargets());
-        return new Leadership(SELF, parts, jobs, new SplittableRandom(1));
+        Term.Dependencies dependencies =
+                new Term.Dependencies(replica, operators, null, TOPICS, routes, new NoTargets());
+        return new LeaderElection(SELF, dependencies, jobs, new SplittableRandom(1));
     }
 
     private void lead(LeaderRecord record) {
@@ -61,7 +63,7 @@
     @Test
     void aLeaderThatWasStartedAgainNeedNotWaitForItsOwnSilence() throws Exception {
         jobs.start();
-        Leadership leadership = leadership();
+        LeaderElection leadership = leadership();
         leadership.start();
         long deadline = Clocks.in(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
         while (!claimed() && Clocks.millisUntil(deadline) > 0) {
@@ -77,7 +79,7 @@
     void anotherNodesLeaderIsLeftAloneWhileItWrites() throws Exception {
         jobs.start();
         lead(new LeaderRecord("other", 1_000, false));
-        Leadership leadership = leadership();
+        LeaderElection leadership = leadership();
         leadership.start();
         for (int i = 0; i < 15; i++) {
             lead(new LeaderRecord("other", 1_000, false));
@@ -91,7 +93,7 @@
     /** Decodes nothing; the log in memory holds the topics of all in one. */
     private static final class NoTargets implements TargetCodec {
         @Override
-        public Optional<String> id(KeyedRecord record) {
+        public Optional<String> targetId(KeyedRecord record) {
             return Optional.empty();
         }
 
--- a/acacia-node/src/test/java/org/acaciaport/node/LogTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
@@ -26,35 +26,36 @@
 import org.junit.jupiter.api.Test;
 
 /** Ways to the log, the copy of the jobs, and what callers are told, against a log in memory. */
-final class LogTest {
+final class LogAccessTest {
     private static final String TOPIC = "jobs";
     private static final Topics TOPICS = new Topics(TOPIC, "operators", "targets");
     private static final List<Step> STEPS =
             List.of(new Step(1, Resources.NONE, 1, List.of(), Step.Constraints.NONE, Step.Mode.PLAIN));
-    private static final AccessList.Queue QUEUE =
-            new AccessList.Queue("q", "host", "/p/", "s", false, new Job.Terms(0, 3, 1.5, 250));
-    private static final Desk.Access.Granted ACCESS = new Desk.Access.Granted(QUEUE, "account", "");
+    private static final OperatorConfiguration.Queue QUEUE =
+            new OperatorConfiguration.Queue("q", "host", "/p/", "s", false, new Job.Terms(0, 3, 1.5, 250));
+    private static final JobService.Access.Granted ACCESS = new JobService.Access.Granted(QUEUE, "account", "");
 
     private final MemoryLog log = new MemoryLog();
     private final Replica replica = new Replica();
-    private final LogRoutes routes = new LogRoutes(log, new Peers("self:1", List::of));
-    private final Follower follower = new Follower(TOPIC, routes, new Follower.Pace(0, 0), replica);
+    private final FailoverLog routes = new FailoverLog(log, new Peers("self:1", List::of));
+    private final TopicConsumer follower =
+            new TopicConsumer(TOPIC, routes, new TopicConsumer.PollSettings(0, 0), replica);
 
     private static long soon() {
         return Clocks.in(300);
     }
 
-    private Desk desk(KeyedRecord published) {
-        OperatorView operators = new OperatorView(record -> new OperatorCodec.Published(
-                new AccessList(1, List.of(QUEUE), Map.of("key", "account"), Map.of(), Set.of("s"))));
+    private JobService jobService(KeyedRecord published) {
+        ConfigurationView operators = new ConfigurationView(record -> new OperatorCodec.Published(
+                new OperatorConfiguration(1, List.of(QUEUE), Map.of("key", "account"), Map.of(), Set.of("s"))));
         operators.apply(published, 0);
         operators.caughtUp(Clocks.now(), 1);
-        Term.Parts parts = new Term.Parts(replica, operators, null, TOPICS, routes, null);
-        return new Desk(parts, follower, 4_000, new MetricRegistry());
+        Term.Dependencies dependencies = new Term.Dependencies(replica, operators, null, TOPICS, routes, null);
+        return new JobService(dependencies, follower, 4_000, new MetricRegistry());
     }
 
-    private Desk.Answer submit(Desk desk, String id) {
-        return desk.submit(ACCESS, id, "payload", STEPS, Job.Schedule.NOW, soon());
+    private JobService.Answer submit(JobService jobService, String id) {
+        return jobService.submit(ACCESS, id, "payload", STEPS, Job.Schedule.NOW, soon());
     }
 
     private AppendOutcome append(KeyedRecord record) {
@@ -64,11 +65,11 @@
     @Test
     void aPeerIsAskedWhileTheLogTurnsThisNodeAway() throws Exception {
         MemoryLog shared = new MemoryLog();
-        LogRoutes peerRoutes = new LogRoutes(shared, new Peers("peer", List::of));
+        FailoverLog peerRoutes = new FailoverLog(shared, new Peers("peer", List::of));
         try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
             log.failure = MemoryLog.Failure.REFUSE;
             List<String> peers = List.of("127.0.0.1:" + peer.port());
-            LogRoutes turnedAway = new LogRoutes(log, new Peers("self:1", () -> peers));
+            FailoverLog turnedAway = new FailoverLog(log, new Peers("self:1", () -> peers));
             Append append = new Append(TOPIC, List.of(KeyedRecord.drop("k")), new Append.Always());
             assertThat(turnedAway.append(append, Clocks.in(5_000))).isInstanceOf(AppendOutcome.Appended.class);
             assertThat(turnedAway.reachable()).isTrue();
@@ -87,14 +88,14 @@
         refusing.failure = MemoryLog.Failure.REFUSE;
         log.failure = MemoryLog.Failure.REFUSE;
         InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-        try (WireServer one = WireServer.start(any, new LogRoutes(refusing, new Peers("", List::of)));
-                WireServer two = WireServer.start(any, new LogRoutes(refusing, new Peers("", List::of)));
-                WireServer three = WireServer.start(any, new LogRoutes(refusing, new Peers("", List::of)));
-                WireServer four = WireServer.start(any, new LogRoutes(new MemoryLog(), new Peers("", List::of)))) {
+        try (WireServer one = WireServer.start(any, new FailoverLog(refusing, new Peers("", List::of)));
+                WireServer two = WireServer.start(any, new FailoverLog(refusing, new Peers("", List::of)));
+                WireServer three = WireServer.start(any, new FailoverLog(refusing, new Peers("", List::of)));
+                WireServer four = WireServer.start(any, new FailoverLog(new MemoryLog(), new Peers("", List::of)))) {
             List<String> peers = Stream.of(one, two, three, four)
                     .map(peer -> "127.0.0.1:" + peer.port())
                     .toList();
-            LogRoutes ways = new LogRoutes(log, new Peers("self:1", () -> peers));
+            FailoverLog ways = new FailoverLog(log, new Peers("self:1", () -> peers));
             Append append = new Append(TOPIC, List.of(KeyedRecord.drop("k")), new Append.Always());
             ways.append(append, Clocks.in(5_000));
             assertThat(ways.append(append, Clocks.in(5_000))).isInstanceOf(AppendOutcome.Appended.class);
@@ -127,13 +128,13 @@
     @Test
     void aNodeThatRelaysThroughPeersDoesNotRefuseWhileItProbes() throws Exception {
         List<Boolean> seen = new CopyOnWriteArrayList<>();
-        AtomicReference<LogRoutes> turnedAway = new AtomicReference<>();
+        AtomicReference<FailoverLog> turnedAway = new AtomicReference<>();
         KeyedLog shared =
                 new Watched(new MemoryLog(), () -> seen.add(turnedAway.get().reachable()));
-        LogRoutes peerRoutes = new LogRoutes(shared, new Peers("peer", List::of));
+        FailoverLog peerRoutes = new FailoverLog(shared, new Peers("peer", List::of));
         try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
             List<String> peers = List.of("127.0.0.1:" + peer.port());
-            turnedAway.set(new LogRoutes(log, new Peers("self:1", () -> peers)));
+            turnedAway.set(new FailoverLog(log, new Peers("self:1", () -> peers)));
             log.failure = MemoryLog.Failure.REFUSE;
             turnedAway.get().read(TOPIC, 0, 0, Clocks.in(5_000));
             seen.clear();
@@ -152,34 +153,34 @@
     @Test
     void requestsAreRefusedAtOnceWhileNoWayToTheLogWorks() {
         log.failure = MemoryLog.Failure.REFUSE;
-        Desk desk = desk(KeyedRecord.drop("config"));
-        assertThat(submit(desk, "a")).isInstanceOf(Desk.Answer.Refused.class);
+        JobService jobService = jobService(KeyedRecord.drop("config"));
+        assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Refused.class);
         int calls = log.calls;
-        assertThat(submit(desk, "b")).isInstanceOf(Desk.Answer.Refused.class);
+        assertThat(submit(jobService, "b")).isInstanceOf(JobService.Answer.Refused.class);
         assertThat(log.calls).isEqualTo(calls);
     }
 
     /** Pattern: one node is cut off. Its callers used to pause a second although the next try reaches another node. */
     @Test
     void callersOfANodeThatIsCutOffAloneNeedNotPause() {
-        Desk desk = desk(KeyedRecord.drop("config"));
-        assertThat(submit(desk, "a")).isInstanceOf(Desk.Answer.Accepted.class);
+        JobService jobService = jobService(KeyedRecord.drop("config"));
+        assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Accepted.class);
         log.failure = MemoryLog.Failure.REFUSE;
-        submit(desk, "b");
-        assertThat(desk.retryAfterSeconds()).isEqualTo(1);
-        await(() -> desk.retryAfterSeconds() == 0);
+        submit(jobService, "b");
+        assertThat(jobService.retryAfterSeconds()).isEqualTo(1);
+        await(() -> jobService.retryAfterSeconds() == 0);
         log.failure = MemoryLog.Failure.NONE;
         follower.catchUp(soon());
-        assertThat(desk.retryAfterSeconds()).isEqualTo(1);
+        assertThat(jobService.retryAfterSeconds()).isEqualTo(1);
     }
 
     /** Pattern: an outage of the log, in which the others are reachable and no better off. */
     @Test
     void callersPauseWhileNobodyReachesTheLog() throws Exception {
-        LogRoutes peerRoutes = new LogRoutes(log, new Peers("peer", List::of));
+        FailoverLog peerRoutes = new FailoverLog(log, new Peers("peer", List::of));
         try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
             List<String> peers = List.of("127.0.0.1:" + peer.port());
-            LogRoutes ways = new LogRoutes(log, new Peers("self:1", () -> peers));
+            FailoverLog ways = new FailoverLog(log, new Peers("self:1", () -> peers));
             log.failure = MemoryLog.Failure.REFUSE;
             for (int i = 0; i < 15; i++) {
                 ways.read(TOPIC, 0, 0, Clocks.in(2_000));
@@ -193,7 +194,8 @@
     @Test
     void aLostAnswerIsNeverARefusal() {
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
-        assertThat(submit(desk(KeyedRecord.drop("config")), "a")).isInstanceOf(Desk.Answer.Undetermined.class);
+        assertThat(submit(jobService(KeyedRecord.drop("config")), "a"))
+                .isInstanceOf(JobService.Answer.Undetermined.class);
     }
 
     /**
@@ -203,56 +205,57 @@
     @Test
     void aRequestOfUnknownOutcomeIsNotHeldWhileTheLogCannotBeReached() {
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
-        Desk desk = desk(KeyedRecord.drop("config"));
+        JobService jobService = jobService(KeyedRecord.drop("config"));
         long deadline = Clocks.in(2_000);
-        Desk.Answer answer = desk.submit(ACCESS, "a", "payload", STEPS, Job.Schedule.NOW, deadline);
-        assertThat(answer).isInstanceOf(Desk.Answer.Undetermined.class);
+        JobService.Answer answer = jobService.submit(ACCESS, "a", "payload", STEPS, Job.Schedule.NOW, deadline);
+        assertThat(answer).isInstanceOf(JobService.Answer.Undetermined.class);
         assertThat(log.calls).isEqualTo(1);
     }
 
     /** Pattern: retries arrive with a few milliseconds left; they used to be answered as if something had been sent. */
     @Test
     void withoutTimeLeftNothingIsSentAndTheRequestIsRefused() {
-        Desk desk = desk(KeyedRecord.drop("config"));
-        Desk.Answer answer = desk.submit(ACCESS, "a", "payload", STEPS, Job.Schedule.NOW, System.nanoTime());
-        assertThat(answer).isInstanceOf(Desk.Answer.Refused.class);
+        JobService jobService = jobService(KeyedRecord.drop("config"));
+        JobService.Answer answer =
+                jobService.submit(ACCESS, "a", "payload", STEPS, Job.Schedule.NOW, System.nanoTime());
+        assertThat(answer).isInstanceOf(JobService.Answer.Refused.class);
         assertThat(log.calls).isEqualTo(0);
     }
 
     @Test
     void aRepeatedSubmissionIsOneJobAndKeepsItsProgress() {
-        Desk desk = desk(KeyedRecord.drop("config"));
-        assertThat(submit(desk, "a")).isInstanceOf(Desk.Answer.Accepted.class);
+        JobService jobService = jobService(KeyedRecord.drop("config"));
+        assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Accepted.class);
         append(JobRecords.progress(new JobProgress("a", JobState.DONE, 1, List.of(), List.of())));
-        submit(desk, "a");
+        submit(jobService, "a");
         assertThat(follower.catchUp(soon())).isTrue();
-        assertThat(desk.state(ACCESS, "a", soon())).isEqualTo(new Desk.Answer.State(JobState.DONE));
+        assertThat(jobService.queryState(ACCESS, "a", soon())).isEqualTo(new JobService.Answer.State(JobState.DONE));
     }
 
     @Test
     void aJobOfAnotherAccountIsNotShown() {
-        Desk desk = desk(KeyedRecord.drop("config"));
-        submit(desk, "a");
-        Desk.Access.Granted other = new Desk.Access.Granted(QUEUE, "other", "a");
-        assertThat(desk.state(other, "a", soon())).isInstanceOf(Desk.Answer.NoJob.class);
-        assertThat(desk.cancel(other, "a", soon())).isInstanceOf(Desk.Answer.NoJob.class);
+        JobService jobService = jobService(KeyedRecord.drop("config"));
+        submit(jobService, "a");
+        JobService.Access.Granted other = new JobService.Access.Granted(QUEUE, "other", "a");
+        assertThat(jobService.queryState(other, "a", soon())).isInstanceOf(JobService.Answer.NoJob.class);
+        assertThat(jobService.cancel(other, "a", soon())).isInstanceOf(JobService.Answer.NoJob.class);
     }
 
     @Test
     void aJobIsSaidNotToExistOnlyByACurrentCopy() {
-        Desk desk = desk(KeyedRecord.drop("config"));
-        assertThat(desk.state(ACCESS, "none", soon())).isInstanceOf(Desk.Answer.NoJob.class);
+        JobService jobService = jobService(KeyedRecord.drop("config"));
+        assertThat(jobService.queryState(ACCESS, "none", soon())).isInstanceOf(JobService.Answer.NoJob.class);
         log.failure = MemoryLog.Failure.REFUSE;
-        assertThat(desk.state(ACCESS, "none", soon())).isInstanceOf(Desk.Answer.Refused.class);
+        assertThat(jobService.queryState(ACCESS, "none", soon())).isInstanceOf(JobService.Answer.Refused.class);
     }
 
     @Test
     void theCopyIsMadeAnewWhenHistoryIsForgotten() {
-        Desk desk = desk(KeyedRecord.drop("config"));
-        submit(desk, "a");
+        JobService jobService = jobService(KeyedRecord.drop("config"));
+        submit(jobService, "a");
         assertThat(follower.catchUp(soon())).isTrue();
-        submit(desk, "b");
-        submit(desk, "c");
+        submit(jobService, "b");
+        submit(jobService, "c");
         log.forgetHistory();
         assertThat(follower.catchUp(soon())).isTrue();
         assertThat(replica.find("a")).isNotNull();
@@ -265,7 +268,7 @@
      */
     @Test
     void theFirstReadAfterAnOutageDoesNotWaitForNews() {
-        Follower waiting = new Follower(TOPIC, log, new Follower.Pace(1_000, 1), replica);
+        TopicConsumer waiting = new TopicConsumer(TOPIC, log, new TopicConsumer.PollSettings(1_000, 1), replica);
         waiting.start();
         await(() -> log.waits.contains(1_000L));
         log.failure = MemoryLog.Failure.REFUSE;
@@ -286,16 +289,16 @@
 
     @Test
     void aDeposedLeaderWritesNothingMore() {
-        TermLog first = new TermLog(log, TOPIC, 5);
+        LeaderLogWriter first = new LeaderLogWriter(log, TOPIC, 5);
         assertThat(first.bar()).isTrue();
         assertThat(first.append(List.of(KeyedRecord.drop("a")))).isTrue();
-        assertThat(new TermLog(log, TOPIC, 9).bar()).isTrue();
+        assertThat(new LeaderLogWriter(log, TOPIC, 9).bar()).isTrue();
         assertThat(first.append(List.of(KeyedRecord.drop("b")))).isFalse();
     }
 
     @Test
     void anAppendOfTheLeaderWhoseAnswerWasLostIsAppliedOnce() throws Exception {
-        TermLog term = new TermLog(log, TOPIC, 5);
+        LeaderLogWriter term = new LeaderLogWriter(log, TOPIC, 5);
         assertThat(term.bar()).isTrue();
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
         Thread append = Thread.ofVirtual().start(() -> term.append(List.of(KeyedRecord.drop("a"))));
@@ -310,13 +313,15 @@
 
     @Test
     void keysAreServedOnlyWhileTheConfigurationIsCurrent() {
-        OperatorView operators = new OperatorView(record -> new OperatorCodec.Published(
-                new AccessList(1, List.of(QUEUE), Map.of("key", "account"), Map.of(), Set.of("s"))));
-        Term.Parts parts = new Term.Parts(replica, operators, null, TOPICS, routes, null);
-        Desk desk = new Desk(parts, follower, 1, new MetricRegistry());
-        assertThat(desk.access("host", "/p/a", "key")).isInstanceOf(Desk.Access.NotCurrent.class);
+        ConfigurationView operators = new ConfigurationView(record -> new OperatorCodec.Published(
+                new OperatorConfiguration(1, List.of(QUEUE), Map.of("key", "account"), Map.of(), Set.of("s"))));
+        Term.Dependencies dependencies = new Term.Dependencies(replica, operators, null, TOPICS, routes, null);
+        JobService jobService = new JobService(dependencies, follower, 1, new MetricRegistry());
+        assertThat(jobService.authorize("host", "/p/a", "key"))
+                .isInstanceOf(JobService.Access.StaleConfiguration.class);
         operators.apply(KeyedRecord.drop("config"), 0);
         operators.caughtUp(new org.acaciaport.pool.ClockReading(System.nanoTime(), 0), 1);
-        assertThat(desk.access("host", "/p/a", "key")).isInstanceOf(Desk.Access.NotCurrent.class);
+        assertThat(jobService.authorize("host", "/p/a", "key"))
+                .isInstanceOf(JobService.Access.StaleConfiguration.class);
     }
 }
--- a/acacia-node/src/test/java/org/acaciaport/node/OrphansTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/OrphanDetectorTest.java
@@ -11,8 +11,8 @@
  * Pattern: a target leaves during a cut, then all nodes lose power. The next leader finds work on a target that is not
  * registered; it used to wait for its report for ever.
  */
-final class OrphansTest {
-    private final Orphans orphans = new Orphans(1_000);
+final class OrphanDetectorTest {
+    private final OrphanDetector orphans = new OrphanDetector(1_000);
 
     @Test
     void workOnAnUnregisteredTargetIsOverOnceTheLeasesAre() {
--- a/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
@@ -24,7 +24,7 @@
     private final Recorder events = new Recorder();
 
     private TargetSession session(long inheritedNanos) {
-        return new TargetSession(new TargetCalls.Address("t", "host:1"), target, events, 1_000, inheritedNanos);
+        return new TargetSession(new TargetCalls.Endpoint("t", "host:1"), target, events, 1_000, inheritedNanos);
     }
 
     private TargetSession verified() throws InterruptedException {
@@ -63,8 +63,8 @@
         target.loseNextStart.set(true);
         session.start(order);
         assertThat(events.started.poll(PATIENCE_SECONDS, TimeUnit.SECONDS)).isEqualTo(order);
-        TargetCalls.StartCall first = target.starts.take();
-        TargetCalls.StartCall second = target.starts.take();
+        TargetCalls.StartRequest first = target.starts.take();
+        TargetCalls.StartRequest second = target.starts.take();
         assertThat(second.fence()).isGreaterThan(first.fence());
         assertThat(target.fenceSeenBetween).isGreaterThan(first.fence());
         session.close();
@@ -82,7 +82,7 @@
     private static final class FakeTarget implements TargetCalls {
         final AtomicBoolean silent = new AtomicBoolean();
         final AtomicBoolean loseNextStart = new AtomicBoolean();
-        final LinkedBlockingQueue<StartCall> starts = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<StartRequest> starts = new LinkedBlockingQueue<>();
         volatile long fence;
         volatile long fenceSeenBetween;
 
@@ -91,7 +91,7 @@
         }
 
         @Override
-        public OrderReply start(Address address, StartCall call, long millis) {
+        public OrderReply start(Endpoint address, StartRequest call, long millis) {
             starts.add(call);
             if (loseNextStart.getAndSet(false)) {
                 return new NoAnswer("lost");
@@ -100,18 +100,18 @@
         }
 
         @Override
-        public OrderReply stop(Address address, TaskId id, int run, long token, long millis) {
+        public OrderReply stop(Endpoint address, TaskId id, int run, long token, long millis) {
             return new Done(clock());
         }
 
         @Override
-        public ReportReply report(Address address, ReportCall call, long millis) {
+        public ReportReply report(Endpoint address, ReportRequest call, long millis) {
             Clocks.sleep(5);
             if (silent.get()) {
                 return new NoAnswer("silent");
             }
             if (call.fence() < fence) {
-                return new Refused(Why.FENCE, OptionalLong.of(clock()));
+                return new Refused(RefusalReason.FENCE, OptionalLong.of(clock()));
             }
             fence = call.fence();
             fenceSeenBetween = fence;
