--- a/acacia-core/src/main/java/org/acaciaport/decision/Use.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/AccountUsage.java
@@ -8,16 +8,18 @@
  * @param irrevocable by work that cannot be taken off
  * @param revocable by work that can be taken off
  */
-public record Use(int irrevocable, int revocable) {
+public record AccountUsage(int irrevocable, int revocable) {
     /** Nothing in use. */
-    static final Use NONE = new Use(0, 0);
+    static final AccountUsage NONE = new AccountUsage(0, 0);
 
     /** Returns all accelerators in use. */
     public int total() {
         return irrevocable + revocable;
     }
 
-    Use plus(int units, boolean canRevoke) {
-        return canRevoke ? new Use(irrevocable, revocable + units) : new Use(irrevocable + units, revocable);
+    AccountUsage plus(int units, boolean canRevoke) {
+        return canRevoke
+                ? new AccountUsage(irrevocable, revocable + units)
+                : new AccountUsage(irrevocable + units, revocable);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Admission.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Admission.java
@@ -20,8 +20,8 @@
     }
 
     void admit(Event.Submitted submitted) {
-        Job job = Job.accepted(submitted.request(), draft.takeSequence());
-        admit(submitted.mayHaveRun() ? job.withPerhaps() : job);
+        Job job = Job.accepted(submitted.request(), draft.nextSequenceNumber());
+        admit(submitted.mayHaveRun() ? job.withPossibleStart() : job);
     }
 
     private void admit(Job job) {
@@ -37,19 +37,19 @@
             refuse(job, neverReason(job.profile()));
             return;
         }
-        if (draft.queues().size(job.account()) >= draft.policy().maxQueued() && !shedLower(job)) {
+        if (draft.queues().size(job.account()) >= draft.policy().maxQueuedPerAccount() && !shedLower(job)) {
             refuse(job, "the account's queue is full; submit it again later");
             return;
         }
         draft.put(job);
-        draft.timer(request.queueDeadline(), Timer.Kind.QUEUE, job.id(), 0);
-        draft.timer(draft.now() + draft.policy().patienceMillis(), Timer.Kind.PATIENCE, job.id(), 0);
-        boolean first = !draft.queues().waits(job.account(), job.profile().name());
-        boolean wanted = draft.takeDispatchWanted();
+        draft.addTimer(request.queueDeadline(), Timer.Kind.QUEUE_DEADLINE, job.id(), 0);
+        draft.addTimer(draft.now() + draft.policy().starvationMillis(), Timer.Kind.STARVATION, job.id(), 0);
+        boolean first = !draft.queues().hasWaiting(job.account(), job.profile().name());
+        boolean wanted = draft.takeDispatchRequest();
         draft.enqueue(job);
-        draft.takeDispatchWanted();
+        draft.takeDispatchRequest();
         if (first || wanted) {
-            draft.wantDispatch();
+            draft.requestDispatch();
         }
     }
 
@@ -64,7 +64,7 @@
         if (known != null && !(known.phase() instanceof Phase.Queued)) {
             return;
         }
-        Job job = known != null ? known : Job.accepted(recovered.request(), draft.takeSequence());
+        Job job = known != null ? known : Job.accepted(recovered.request(), draft.nextSequenceNumber());
         draft.put(job);
         draft.dequeue(job);
         boolean present = intent.members().stream().allMatch(m -> draft.fleet().target(m.target()) != null);
@@ -78,11 +78,11 @@
 
     /** Without an intent on the log, only work that needs none may have started. */
     private Job unfinished(Event.Recovered recovered) {
-        Job job = Job.accepted(recovered.request(), draft.takeSequence());
+        Job job = Job.accepted(recovered.request(), draft.nextSequenceNumber());
         if (recovered.checkpointed()) {
             return job.withStart().withCheckpoint(true);
         }
-        return draft.rules().requiresIntent(job.profile()) ? job : job.withPerhaps();
+        return draft.rules().requiresIntent(job.profile()) ? job : job.withPossibleStart();
     }
 
     /** Answers waiting requests that the present configuration can never run. */
--- a/acacia-core/src/main/java/org/acaciaport/decision/CapacityIndex.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/CapacityIndex.java
@@ -26,20 +26,20 @@
     static final CapacityIndex EMPTY = new CapacityIndex(TreePSet.empty(), HashTreePMap.empty());
 
     private final TreePSet<Entry> entries;
-    private final PMap<String, RackLoad> racks;
+    private final PMap<String, RackCapacity> racks;
 
-    private CapacityIndex(TreePSet<Entry> entries, PMap<String, RackLoad> racks) {
+    private CapacityIndex(TreePSet<Entry> entries, PMap<String, RackCapacity> racks) {
         this.entries = entries;
         this.racks = racks;
     }
 
     CapacityIndex plus(String target, String rack, int units) {
-        RackLoad load = racks.getOrDefault(rack, RackLoad.EMPTY).plus(units, 1);
+        RackCapacity load = racks.getOrDefault(rack, RackCapacity.EMPTY).plus(units, 1);
         return new CapacityIndex(entries.plus(new Entry(units, target)), racks.plus(rack, load));
     }
 
     CapacityIndex minus(String target, String rack, int units) {
-        RackLoad load = racks.get(rack).plus(units, -1);
+        RackCapacity load = racks.get(rack).plus(units, -1);
         return new CapacityIndex(entries.minus(new Entry(units, target)), racks.plus(rack, load));
     }
 
@@ -49,12 +49,12 @@
     }
 
     /** Returns how many targets of {@code rack} can give at least {@code units}. */
-    int inRack(String rack, int units) {
-        return racks.getOrDefault(rack, RackLoad.EMPTY).atLeast(units);
+    int countInRack(String rack, int units) {
+        return racks.getOrDefault(rack, RackCapacity.EMPTY).countAtLeast(units);
     }
 
     /** Returns the most accelerators that one target can give; zero if none. */
-    int largest() {
+    int largestUnits() {
         return entries.isEmpty() ? 0 : entries.last().units();
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/CellState.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/CellState.java
@@ -12,10 +12,10 @@
  * @param dataCentre name of the data centre
  * @param active the configuration in force
  * @param fleet its targets
- * @param work its unfinished requests
+ * @param workload its unfinished requests
  * @param gate whether work may start
  */
-public record CellState(String dataCentre, ActiveConfiguration active, Fleet fleet, Workload work, Gate gate) {
+public record CellState(String dataCentre, ActiveConfiguration active, Fleet fleet, Workload workload, StartGate gate) {
     private static final int EPOCH_SHIFT = 32;
 
     /**
@@ -28,8 +28,8 @@
                 dataCentre,
                 ActiveConfiguration.NONE,
                 Fleet.EMPTY,
-                Workload.startingAt(epoch << EPOCH_SHIFT),
-                Gate.CLOSED);
+                Workload.startingAfter(epoch << EPOCH_SHIFT),
+                StartGate.CLOSED);
     }
 
     /** Returns the epoch in which the attempt called {@code attempt} was made. */
@@ -39,13 +39,13 @@
 
     /** Returns the unfinished request called {@code id}. */
     public Optional<Job> job(String id) {
-        return Optional.ofNullable(work.jobs().get(id));
+        return Optional.ofNullable(workload.jobs().get(id));
     }
 
     /** Returns when something is next due, in milliseconds. */
-    public OptionalLong nextTimer() {
-        return work.timers().isEmpty()
+    public OptionalLong nextTimerAt() {
+        return workload.timers().isEmpty()
                 ? OptionalLong.empty()
-                : OptionalLong.of(work.timers().first().at());
+                : OptionalLong.of(workload.timers().first().dueAt());
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
@@ -19,20 +19,20 @@
 
     /** Claims places within the account's own share; whoever borrows them is taken off within the reclaim limit. */
     void claimOwned(Job job, List<Member> members) {
-        promise(job, members, false, draft.now() + draft.policy().reclaimMillis());
+        promise(job, members, false, draft.now() + draft.policy().maxReclaimMillis());
     }
 
     /** Sets places aside for a large job; irrevocable work on them runs to its end first. */
     void beginDrain(Job job, List<Member> members, long deadline) {
-        draft.setDrain(Optional.of(job.id()));
+        draft.setLargeJob(Optional.of(job.id()));
         promise(job, members, true, deadline);
     }
 
     private void promise(Job job, List<Member> members, boolean drain, long deadline) {
-        Attempt attempt = new Attempt(draft.takeAttempt(), members, 0);
+        Attempt attempt = new Attempt(draft.nextAttemptNumber(), members, 0);
         draft.dequeue(job);
         Phase.Claiming claiming = new Phase.Claiming(attempt, drain, draft.now(), deadline);
-        draft.claim(job, claiming);
+        draft.addClaim(job, claiming);
         Job claimed = job.with(claiming);
         draft.put(claimed);
         draft.note(
@@ -59,8 +59,8 @@
             }
             return;
         }
-        if (!claiming.drain() || clearable(job, claiming)) {
-            new Revoker(draft).preemptFor(job, claiming.attempt(), claiming.drain());
+        if (!claiming.forLargeJob() || clearable(job, claiming)) {
+            new Revoker(draft).preemptFor(job, claiming.attempt(), claiming.forLargeJob());
         }
     }
 
@@ -68,14 +68,14 @@
     void abandon(Job job, Phase.Claiming claiming, String why) {
         draft.note(PART, job, "abandoned attempt=" + claiming.attempt().number() + " why=" + why);
         release(job, claiming);
-        draft.defer(job, draft.now() + draft.policy().retryMillis());
+        draft.defer(job, draft.now() + draft.policy().initialRetryDelayMillis());
     }
 
     /** Gives the promised places up. */
     void release(Job job, Phase.Claiming claiming) {
-        draft.unclaim(job, claiming);
-        if (claiming.drain()) {
-            draft.setDrain(Optional.empty());
+        draft.removeClaim(job, claiming);
+        if (claiming.forLargeJob()) {
+            draft.setLargeJob(Optional.empty());
         }
     }
 
@@ -88,7 +88,7 @@
     private String unusable(Job job, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
             TargetState target = draft.fleet().target(member.target());
-            if (target == null || !target.inUse() || target.health().probation()) {
+            if (target == null || !target.isUsable() || target.health().onProbation()) {
                 return "target " + member.target() + " is out of use";
             }
             if (!fits(job, claiming, member, target)) {
@@ -99,8 +99,8 @@
     }
 
     private boolean fits(Job job, Phase.Claiming claiming, Member member, TargetState target) {
-        if (claiming.drain()) {
-            return claiming.bounded()
+        if (claiming.forLargeJob()) {
+            return claiming.hasDeadline()
                     ? Admission.fitsBesideGuarantees(target, job)
                     : Admission.fitsWhenEmpty(target, job);
         }
@@ -114,7 +114,7 @@
             return true;
         }
         Load others =
-                claiming.bounded() ? target.load().withClaim(job.account(), -member.units(), false) : target.load();
+                claiming.hasDeadline() ? target.load().withClaim(job.account(), -member.units(), false) : target.load();
         return draft.rules().preservesGuarantees(target.with(others), job.account(), member.units());
     }
 
@@ -123,8 +123,9 @@
         for (Member member : claiming.attempt().members()) {
             TargetState target = draft.fleet().target(member.target());
             int idle = target.capacity() - target.load().used();
-            int others =
-                    claiming.drain() ? target.load().claimed() - member.units() : olderClaims(job, claiming, target);
+            int others = claiming.forLargeJob()
+                    ? target.load().claimed() - member.units()
+                    : olderClaims(job, claiming, target);
             boolean kept = preservesGuarantees(job, claiming, member, target);
             if (idle - others < member.units() || !kept) {
                 return false;
@@ -140,7 +141,7 @@
             Job other = draft.job(id);
             boolean older = other != null
                     && other.phase() instanceof Phase.Claiming claim
-                    && !claim.drain()
+                    && !claim.forLargeJob()
                     && claim.attempt().number() < claiming.attempt().number();
             units += older ? other.unitsOn(target.id()) : 0;
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
@@ -28,8 +28,8 @@
             new Probation(draft).allowProbe(timer.subject());
             return;
         }
-        if (timer.kind() == Timer.Kind.RAMP) {
-            draft.wantDispatch();
+        if (timer.kind() == Timer.Kind.RAMP_UP) {
+            draft.requestDispatch();
             return;
         }
         Job job = draft.job(timer.subject());
@@ -37,13 +37,13 @@
             return;
         }
         switch (timer.kind()) {
-            case QUEUE -> queueDeadline(job);
+            case QUEUE_DEADLINE -> queueDeadline(job);
             case RETRY -> retry(job);
-            case PATIENCE -> draft.wantDispatch();
-            case STEP -> new Starter(draft).handleTimeout(job, timer.attempt());
-            case RUN -> runDeadline(job, timer.attempt());
-            case REVOCATION -> revocationDeadline(job, timer.attempt());
-            case PROBE, RAMP -> {}
+            case STARVATION -> draft.requestDispatch();
+            case STEP_TIMEOUT -> new Starter(draft).handleTimeout(job, timer.attempt());
+            case RUN_DEADLINE -> runDeadline(job, timer.attempt());
+            case TREATMENT_TIMEOUT -> revocationDeadline(job, timer.attempt());
+            case PROBE, RAMP_UP -> {}
         }
     }
 
@@ -54,7 +54,7 @@
     }
 
     private void queueDeadline(Job job) {
-        if (job.started() == Job.Started.YES) {
+        if (job.startStatus() == Job.StartStatus.STARTED) {
             return;
         }
         Outcome notRun = expired(job);
@@ -66,14 +66,14 @@
             }
             case Phase.Reserving reserving -> again(job);
             case Phase.Committing committing -> {
-                draft.command(
+                draft.addCommand(
                         new Command.RecordVoid(job.id(), committing.attempt().number(), false));
                 new Starter(draft).releasePlaces(job, committing.attempt());
                 draft.finish(job, notRun);
             }
             case Phase.Running running -> again(job);
             case Phase.HandingOver handingOver -> again(job);
-            case Phase.Parked parked -> {}
+            case Phase.Paused paused -> {}
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     private void again(Job job) {
-        draft.timer(draft.now() + draft.policy().reserveMillis(), Timer.Kind.QUEUE, job.id(), 0);
+        draft.addTimer(draft.now() + draft.policy().reserveTimeoutMillis(), Timer.Kind.QUEUE_DEADLINE, job.id(), 0);
     }
 
     private void runDeadline(Job job, long attempt) {
@@ -96,7 +96,7 @@
                 && running.attempt().number() == attempt
                 && running.revocation().isEmpty()
                 && running.runDeadline() <= draft.now()) {
-            new Revoker(draft).stop(job, Revocation.Purpose.RUN_LIMIT, "run limit passed");
+            new Revoker(draft).stop(job, Revocation.Cause.RUN_LIMIT, "run limit passed");
         }
     }
 
@@ -111,22 +111,22 @@
     /** Ends the job as soon as its present step allows. */
     void cancel(String request) {
         Job job = draft.job(request);
-        if (job == null || job.cancelAsked()) {
+        if (job == null || job.cancelRequested()) {
             return;
         }
         draft.note(PART, job, "cancel asked");
-        Job asked = job.withCancelAsked();
+        Job asked = job.withCancelRequested();
         draft.put(asked);
         switch (asked.phase()) {
-            case Phase.Queued queued -> draft.finish(asked, new Outcome.Cancelled(asked.everStarted()));
+            case Phase.Queued queued -> draft.finish(asked, new Outcome.Cancelled(asked.mayHaveRun()));
             case Phase.Claiming claiming -> {
                 new Claims(draft).release(asked, claiming);
-                draft.finish(asked, new Outcome.Cancelled(asked.everStarted()));
+                draft.finish(asked, new Outcome.Cancelled(asked.mayHaveRun()));
             }
             case Phase.Reserving reserving -> new Starter(draft).abandon(asked, reserving.attempt(), "cancelled");
             case Phase.Running running ->
-                new Revoker(draft).stop(asked, Revocation.Purpose.CANCEL, "cancelled by the caller");
-            case Phase.Parked parked -> new PausedJobs(draft).cancel(asked, parked);
+                new Revoker(draft).stop(asked, Revocation.Cause.CANCEL, "cancelled by the caller");
+            case Phase.Paused paused -> new PausedJobs(draft).cancel(asked, paused);
             case Phase.Committing committing -> {}
             case Phase.HandingOver handingOver -> {}
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Decider.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Decider.java
@@ -49,8 +49,8 @@
             case Event.Configured configured -> new Membership(draft).applyConfiguration(configured.active());
             case Event.PermitRenewed permit -> renew(draft, permit.until());
             case Event.LogChanged log -> {
-                draft.setGate(draft.gate().withLog(log.available()));
-                draft.wantDispatch();
+                draft.setGate(draft.gate().withLogAvailable(log.available()));
+                draft.requestDispatch();
             }
             case Event.LeavingListed leaving -> new Membership(draft).applyLeavingList(leaving.targets());
             case Event.TargetReachable reachable -> new Membership(draft).markReachable(reachable.target());
@@ -69,7 +69,7 @@
         if (!lapsed) {
             return;
         }
-        draft.wantDispatch();
+        draft.requestDispatch();
         for (Job job : draft.jobs().values()) {
             if (job.phase() instanceof Phase.Claiming) {
                 new Claims(draft).advance(draft.job(job.id()));
--- a/acacia-core/src/main/java/org/acaciaport/decision/Decision.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Decision.java
@@ -12,13 +12,13 @@
  * @param state the next state
  * @param commands what to carry out, in order
  * @param notes the decisions in words
- * @param touched identifiers of the targets whose state changed
+ * @param changedTargets identifiers of the targets whose state changed
  */
-public record Decision(CellState state, List<Command> commands, List<Note> notes, Set<String> touched) {
+public record Decision(CellState state, List<Command> commands, List<Note> notes, Set<String> changedTargets) {
     /** Copies the collections. */
     public Decision {
         commands = List.copyOf(commands);
         notes = List.copyOf(notes);
-        touched = ImmutableSet.copyOf(touched);
+        changedTargets = ImmutableSet.copyOf(changedTargets);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Dispatcher.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Dispatcher.java
@@ -26,9 +26,9 @@
 
     /** Looks at the queues as often as the decision asks for it. */
     void run() {
-        while (draft.takeDispatchWanted()) {
+        while (draft.takeDispatchRequest()) {
             exhausted.clear();
-            for (String target : draft.takeVacated()) {
+            for (String target : draft.takeFreedTargets()) {
                 serveTarget(target);
             }
             if (!draft.active().inService(draft.state().dataCentre())) {
@@ -38,8 +38,8 @@
             if (!mayStart()) {
                 return;
             }
-            for (String parked : draft.parked()) {
-                new PausedJobs(draft).resume(draft.job(parked));
+            for (String paused : draft.paused()) {
+                new PausedJobs(draft).resume(draft.job(paused));
             }
             placeAll();
             new DrainPlanner(draft).planNext();
@@ -59,7 +59,7 @@
                 claiming.add(job);
             }
         }
-        claiming.sort(Comparator.comparingLong((Job j) -> ((Phase.Claiming) j.phase()).since())
+        claiming.sort(Comparator.comparingLong((Job j) -> ((Phase.Claiming) j.phase()).claimedAt())
                 .thenComparingLong(Job::sequence));
         Claims claims = new Claims(draft);
         for (Job job : claiming) {
@@ -76,8 +76,8 @@
         while (placed) {
             placed = false;
             for (String account : accountsByUse()) {
-                if (!draft.gate().allowsStart(draft.now(), draft.policy().rampStarts())) {
-                    draft.timer(draft.gate().nextSecond(draft.now()), Timer.Kind.RAMP, "", 0);
+                if (!draft.gate().allowsStart(draft.now(), draft.policy().firstSecondStarts())) {
+                    draft.addTimer(draft.gate().nextSecondAt(draft.now()), Timer.Kind.RAMP_UP, "", 0);
                     return;
                 }
                 placed |= placeOne(account);
@@ -92,7 +92,8 @@
     }
 
     private long accountRank(String account) {
-        return draft.rules().accountRank(draft.unitsOf(account), heads(account).getFirst());
+        return draft.rules()
+                .accountRank(draft.unitsUsedBy(account), heads(account).getFirst());
     }
 
     private boolean placeOne(String account) {
@@ -162,7 +163,7 @@
     }
 
     private void start(Job job, List<Member> members, String why, String rejected) {
-        Attempt attempt = new Attempt(draft.takeAttempt(), members, 0);
+        Attempt attempt = new Attempt(draft.nextAttemptNumber(), members, 0);
         draft.note(
                 PART,
                 job,
--- a/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
@@ -25,23 +25,23 @@
     private final String dataCentre;
     private final List<Command> commands = new ArrayList<>();
     private final List<Note> notes = new ArrayList<>();
-    private final Set<String> touched = new TreeSet<>();
-    private final Set<String> vacated = new TreeSet<>();
+    private final Set<String> changedTargets = new TreeSet<>();
+    private final Set<String> freedTargets = new TreeSet<>();
 
     private ActiveConfiguration active;
     private Fleet fleet;
-    private Gate gate;
+    private StartGate gate;
     private PMap<String, Job> jobs;
     private Queues queues;
     private TreePSet<Timer> timers;
-    private PMap<String, Integer> units;
-    private PMap<String, RetryBudget> budgets;
+    private PMap<String, Integer> unitsByAccount;
+    private PMap<String, RetryBudget> retryBudgets;
     private PMap<String, RunTimes> runTimes;
     private long nextSequence;
-    private long nextAttempt;
-    private PSet<String> parked;
-    private Optional<String> drain;
-    private boolean dispatchWanted;
+    private long lastAttempt;
+    private PSet<String> paused;
+    private Optional<String> largeJob;
+    private boolean dispatchRequested;
 
     Draft(CellState state, Policy policy, Rules rules, long now) {
         this.policy = policy;
@@ -51,33 +51,42 @@
         active = state.active();
         fleet = state.fleet();
         gate = state.gate();
-        Workload work = state.work();
+        Workload work = state.workload();
         jobs = work.jobs();
         queues = work.queues();
         timers = work.timers();
-        units = work.units();
-        budgets = work.budgets();
+        unitsByAccount = work.unitsByAccount();
+        retryBudgets = work.retryBudgets();
         runTimes = work.runTimes();
         nextSequence = work.nextSequence();
-        nextAttempt = work.nextAttempt();
-        parked = work.parked();
-        drain = work.drain();
+        lastAttempt = work.lastAttempt();
+        paused = work.paused();
+        largeJob = work.largeJob();
     }
 
     /** Returns the state as it stands. */
     CellState state() {
-        Workload work =
-                new Workload(jobs, queues, timers, units, budgets, runTimes, nextSequence, nextAttempt, parked, drain);
+        Workload work = new Workload(
+                jobs,
+                queues,
+                timers,
+                unitsByAccount,
+                retryBudgets,
+                runTimes,
+                nextSequence,
+                lastAttempt,
+                paused,
+                largeJob);
         return new CellState(dataCentre, active, fleet, work, gate);
     }
 
     Decision decision() {
-        return new Decision(state(), commands, notes, touched);
+        return new Decision(state(), commands, notes, changedTargets);
     }
 
     /** Returns whether {@code attempt} was made by an earlier leader. */
-    boolean recovered(Attempt attempt) {
-        return CellState.epochOf(attempt.number()) < CellState.epochOf(nextAttempt);
+    boolean isFromEarlierLeader(Attempt attempt) {
+        return CellState.epochOf(attempt.number()) < CellState.epochOf(lastAttempt);
     }
 
     Policy policy() {
@@ -105,20 +114,20 @@
     }
 
     void setFleet(Fleet next) {
-        next.targets().keySet().forEach(touched::add);
+        next.targets().keySet().forEach(changedTargets::add);
         fleet = next;
     }
 
     /** Keeps the newest list of leaving VMs for targets that are configured later. */
-    void noteListed(Set<String> listed) {
-        fleet = fleet.withListed(listed);
+    void setListedAsLeaving(Set<String> listed) {
+        fleet = fleet.withListedAsLeaving(listed);
     }
 
-    Gate gate() {
+    StartGate gate() {
         return gate;
     }
 
-    void setGate(Gate next) {
+    void setGate(StartGate next) {
         gate = next;
     }
 
@@ -135,63 +144,63 @@
         return jobs.get(id);
     }
 
-    int unitsOf(String account) {
-        return units.getOrDefault(account, 0);
+    int unitsUsedBy(String account) {
+        return unitsByAccount.getOrDefault(account, 0);
     }
 
-    PSet<String> parked() {
-        return parked;
+    PSet<String> paused() {
+        return paused;
     }
 
     /** Counts {@code job} as paused on {@code target}. */
-    void park(Job job, String target) {
-        parked = parked.plus(job.id());
-        changeTarget(target, t -> t.with(t.load().withParked(job.id())));
+    void addPaused(Job job, String target) {
+        paused = paused.plus(job.id());
+        changeTarget(target, t -> t.with(t.load().withPaused(job.id())));
     }
 
     /** Counts {@code job} as no longer paused on {@code target}. */
-    void unpark(Job job, String target) {
-        parked = parked.minus(job.id());
-        changeTarget(target, t -> t.with(t.load().withoutParked(job.id())));
+    void removePaused(Job job, String target) {
+        paused = paused.minus(job.id());
+        changeTarget(target, t -> t.with(t.load().withoutPaused(job.id())));
     }
 
-    Optional<String> drain() {
-        return drain;
+    Optional<String> largeJob() {
+        return largeJob;
     }
 
-    void setDrain(Optional<String> next) {
-        drain = next;
+    void setLargeJob(Optional<String> next) {
+        largeJob = next;
     }
 
     /** Asks for another look at the queues before the decision ends. */
-    void wantDispatch() {
-        dispatchWanted = true;
+    void requestDispatch() {
+        dispatchRequested = true;
     }
 
     /** Returns whether another look at the queues was asked for, and forgets it. */
-    boolean takeDispatchWanted() {
-        boolean wanted = dispatchWanted;
-        dispatchWanted = false;
+    boolean takeDispatchRequest() {
+        boolean wanted = dispatchRequested;
+        dispatchRequested = false;
         return wanted;
     }
 
     /** Returns the targets on which accelerators became free since the last call, and forgets them. */
-    Set<String> takeVacated() {
-        Set<String> taken = new TreeSet<>(vacated);
-        vacated.clear();
+    Set<String> takeFreedTargets() {
+        Set<String> taken = new TreeSet<>(freedTargets);
+        freedTargets.clear();
         return taken;
     }
 
     /** Has all claims looked at again, since their places may have other owners now. */
-    void revisitClaims() {
+    void recheckClaims() {
         for (TargetState target : fleet.targets().values()) {
             if (target.load().claimed() > 0) {
-                vacated.add(target.id());
+                freedTargets.add(target.id());
             }
         }
     }
 
-    void command(Command command) {
+    void addCommand(Command command) {
         commands.add(command);
     }
 
@@ -204,17 +213,17 @@
     }
 
     void changeTarget(String id, UnaryOperator<TargetState> change) {
-        fleet = fleet.change(id, change);
-        touched.add(id);
+        fleet = fleet.withChanged(id, change);
+        changedTargets.add(id);
     }
 
-    void timer(long at, Timer.Kind kind, String subject, long attempt) {
+    void addTimer(long at, Timer.Kind kind, String subject, long attempt) {
         timers = timers.plus(new Timer(at, kind, subject, attempt));
     }
 
     /** Returns the next timer that is due and removes it, or returns null. */
     Timer takeDueTimer() {
-        if (timers.isEmpty() || timers.first().at() > now) {
+        if (timers.isEmpty() || timers.first().dueAt() > now) {
             return null;
         }
         Timer due = timers.first();
@@ -222,12 +231,12 @@
         return due;
     }
 
-    long takeSequence() {
+    long nextSequenceNumber() {
         return nextSequence++;
     }
 
-    long takeAttempt() {
-        return ++nextAttempt;
+    long nextAttemptNumber() {
+        return ++lastAttempt;
     }
 
     void put(Job job) {
@@ -239,13 +248,13 @@
         Job queued = job.with(new Phase.Queued(now));
         put(queued);
         queues = queues.plus(queued);
-        dispatchWanted = true;
+        dispatchRequested = true;
     }
 
     /** Keeps {@code job} waiting without being placed until {@code at}. */
     void defer(Job job, long at) {
         put(job.with(new Phase.Queued(at)));
-        timer(at, Timer.Kind.RETRY, job.id(), 0);
+        addTimer(at, Timer.Kind.RETRY, job.id(), 0);
     }
 
     void dequeue(Job job) {
@@ -255,7 +264,7 @@
     /** Ends {@code job} with its only answer. Its accelerators must have been given up before. */
     void finish(Job job, Outcome outcome) {
         remove(job);
-        command(new Command.Answer(job.request(), outcome));
+        addCommand(new Command.Answer(job.request(), outcome));
         note("answer", job, "outcome=" + outcome.word() + " " + detail(outcome));
     }
 
@@ -263,47 +272,47 @@
     void remove(Job job) {
         queues = queues.minus(job);
         jobs = jobs.minus(job.id());
-        if (drain.isPresent() && drain.get().equals(job.id())) {
-            drain = Optional.empty();
-            dispatchWanted = true;
+        if (largeJob.isPresent() && largeJob.get().equals(job.id())) {
+            largeJob = Optional.empty();
+            dispatchRequested = true;
         }
     }
 
     /** Promises the places of {@code claiming} to {@code job}. */
-    void claim(Job job, Phase.Claiming claiming) {
+    void addClaim(Job job, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
             changeTarget(
                     member.target(),
-                    t -> t.with(
-                            promised(t.load(), job, claiming, member.units()).withJob(job.id())));
+                    t -> t.with(withPromisedUnits(t.load(), job, claiming, member.units())
+                            .withJob(job.id())));
         }
     }
 
-    /** Takes back what {@link #claim} promised. */
-    void unclaim(Job job, Phase.Claiming claiming) {
+    /** Takes back what {@link #addClaim} promised. */
+    void removeClaim(Job job, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
             if (fleet.target(member.target()) != null) {
                 changeTarget(
                         member.target(),
-                        t -> t.with(promised(t.load(), job, claiming, -member.units())
+                        t -> t.with(withPromisedUnits(t.load(), job, claiming, -member.units())
                                 .withoutJob(job.id())));
-                vacated.add(member.target());
+                freedTargets.add(member.target());
             }
         }
-        dispatchWanted = true;
+        dispatchRequested = true;
     }
 
-    private static Load promised(Load load, Job job, Phase.Claiming claiming, int units) {
-        Load counted = claiming.bounded()
+    private static Load withPromisedUnits(Load load, Job job, Phase.Claiming claiming, int units) {
+        Load counted = claiming.hasDeadline()
                 ? load.withClaim(job.account(), units, job.profile().revocable())
-                : load.withoutDeadline(units);
-        return claiming.drain() ? counted.withSetAside(units) : counted;
+                : load.withUnboundedClaim(units);
+        return claiming.forLargeJob() ? counted.withSetAside(units) : counted;
     }
 
     /** Counts the accelerators of an attempt as occupied. */
     void occupy(Job job, Attempt attempt) {
         for (Member member : attempt.members()) {
-            changeUse(job, member, member.units());
+            changeUsage(job, member, member.units());
             changeTarget(member.target(), t -> t.with(t.load().withJob(job.id())));
         }
     }
@@ -313,27 +322,27 @@
         if (fleet.target(member.target()) == null) {
             return;
         }
-        changeUse(job, member, -member.units());
+        changeUsage(job, member, -member.units());
         changeTarget(member.target(), t -> {
             Load load = t.load().withoutJob(job.id());
             return t.with(revoking ? load.withRevoking(-member.units()) : load);
         });
-        vacated.add(member.target());
-        dispatchWanted = true;
+        freedTargets.add(member.target());
+        dispatchRequested = true;
     }
 
-    private void changeUse(Job job, Member member, int change) {
+    private void changeUsage(Job job, Member member, int change) {
         boolean revocable = job.profile().revocable();
-        changeTarget(member.target(), t -> t.with(t.load().withUse(job.account(), change, revocable)));
-        units = units.plus(job.account(), unitsOf(job.account()) + change);
+        changeTarget(member.target(), t -> t.with(t.load().withUsage(job.account(), change, revocable)));
+        unitsByAccount = unitsByAccount.plus(job.account(), unitsUsedBy(job.account()) + change);
     }
 
-    RetryBudget budget(String profile) {
-        return budgets.getOrDefault(profile, RetryBudget.FULL);
+    RetryBudget retryBudget(String profile) {
+        return retryBudgets.getOrDefault(profile, RetryBudget.FULL);
     }
 
-    void setBudget(String profile, RetryBudget budget) {
-        budgets = budgets.plus(profile, budget);
+    void setRetryBudget(String profile, RetryBudget budget) {
+        retryBudgets = retryBudgets.plus(profile, budget);
     }
 
     RunTimes runTimes(String profile) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
@@ -26,7 +26,7 @@
 
     /** Gives the next large job its turn if none has it. */
     void planNext() {
-        if (!draft.rules().drainsForLargeJobs() || draft.drain().isPresent()) {
+        if (!draft.rules().drainsForLargeJobs() || draft.largeJob().isPresent()) {
             return;
         }
         Job oldest = null;
@@ -48,7 +48,7 @@
      * once the owner waits for nothing but revocable work.
      */
     List<Member> findBackfill(Job job) {
-        Job owner = draft.drain().map(draft::job).orElse(null);
+        Job owner = draft.largeJob().map(draft::job).orElse(null);
         if (owner == null || job.profile().gang() || !(owner.phase() instanceof Phase.Claiming claiming)) {
             return List.of();
         }
@@ -62,8 +62,8 @@
             int idle = target.free() + member.units();
             boolean fits = job.profile().revocable() || draft.rules().preservesGuarantees(target, job.account(), units);
             boolean allowed = draft.rules().acceptsWork(target)
-                    && !job.failedOn().contains(target.id())
-                    && target.health().suspects().isEmpty();
+                    && !job.avoidedTargets().contains(target.id())
+                    && target.health().accountsByFailedRequest().isEmpty();
             if (fits && allowed && idle >= units) {
                 return List.of(new Member(0, target.id(), units));
             }
@@ -73,18 +73,18 @@
 
     /** Trusts observed run times, and for irrevocable work the run limit besides. */
     private boolean endsInTime(Job job, long deadline) {
-        OptionalLong high = draft.runTimes(job.profile().name()).high();
+        OptionalLong high = draft.runTimes(job.profile().name()).highPercentileMillis();
         boolean likely = high.isEmpty() || draft.now() + high.getAsLong() <= deadline;
         return job.profile().revocable()
                 ? likely
                 : likely
                         && deadline != Long.MAX_VALUE
-                        && endBy(job) + 2 * draft.policy().reclaimMillis() <= deadline;
+                        && endBy(job) + 2 * draft.policy().maxReclaimMillis() <= deadline;
     }
 
     private boolean due(Job job) {
         long waited = draft.now() - job.request().acceptedAt();
-        return waited >= draft.policy().patienceMillis() && large(job);
+        return waited >= draft.policy().starvationMillis() && large(job);
     }
 
     private boolean large(Job job) {
@@ -106,7 +106,7 @@
         if (best == null) {
             return;
         }
-        long deadline = best.beside() ? best.clearAt() + 2 * draft.policy().reclaimMillis() : Long.MAX_VALUE;
+        long deadline = best.beside() ? best.clearAt() + 2 * draft.policy().maxReclaimMillis() : Long.MAX_VALUE;
         draft.note(
                 PART,
                 job,
@@ -133,7 +133,7 @@
         List<Clearing> clearings = new ArrayList<>();
         for (String id : targets) {
             TargetState target = draft.fleet().target(id);
-            if (target.trusted() && Admission.fitsWhenEmpty(target, job)) {
+            if (target.isTrusted() && Admission.fitsWhenEmpty(target, job)) {
                 clearings.add(new Clearing(target, clearAt(target, job)));
             }
         }
@@ -176,7 +176,7 @@
                 ? running.runDeadline()
                 : draft.now()
                         + job.profile().runLimitMillis()
-                        + 2 * draft.policy().reserveMillis();
-        return runs + draft.policy().stopMillis();
+                        + 2 * draft.policy().reserveTimeoutMillis();
+        return runs + draft.policy().stopTimeoutMillis();
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Fleet.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Fleet.java
@@ -21,7 +21,7 @@
  * @param free accepting targets by free accelerators
  * @param unowned accepting targets by accelerators that are both free and owned by nobody
  * @param shares which slices make up each account's guarantee
- * @param listed identifiers on the platform's newest list of leaving VMs, whether or not they are in the fleet
+ * @param listedAsLeaving identifiers on the platform's newest list of leaving VMs, whether or not they are in the fleet
  */
 public record Fleet(
         PMap<String, TargetState> targets,
@@ -29,7 +29,7 @@
         CapacityIndex free,
         CapacityIndex unowned,
         Shares shares,
-        Set<String> listed) {
+        Set<String> listedAsLeaving) {
     /** No targets. */
     static final Fleet EMPTY =
             new Fleet(HashTreePMap.empty(), Map.of(), CapacityIndex.EMPTY, CapacityIndex.EMPTY, Shares.NONE, Set.of());
@@ -46,7 +46,7 @@
 
     /** Returns the most accelerators that are free together on one accepting target. */
     public int largestFree() {
-        return free.largest();
+        return free.largestUnits();
     }
 
     /** Returns the fleet with the state of one target replaced or added. */
@@ -54,7 +54,7 @@
         TargetState previous = targets.get(next.id());
         CapacityIndex freeNext = replace(free, previous, next, Fleet::freeUnits);
         CapacityIndex unownedNext = replace(unowned, previous, next, Fleet::unownedUnits);
-        return new Fleet(targets.plus(next.id(), next), racks, freeNext, unownedNext, shares, listed);
+        return new Fleet(targets.plus(next.id(), next), racks, freeNext, unownedNext, shares, listedAsLeaving);
     }
 
     /** Returns the fleet without the target called {@code id}. */
@@ -62,12 +62,12 @@
         TargetState previous = targets.get(id);
         CapacityIndex freeNext = remove(free, previous, freeUnits(previous));
         CapacityIndex unownedNext = remove(unowned, previous, unownedUnits(previous));
-        return new Fleet(targets.minus(id), racks, freeNext, unownedNext, shares, listed);
+        return new Fleet(targets.minus(id), racks, freeNext, unownedNext, shares, listedAsLeaving);
     }
 
     /** Returns the fleet with slices assigned as in {@code next}. */
     Fleet with(Shares next) {
-        Fleet fleet = new Fleet(targets, racks, free, unowned, next, listed);
+        Fleet fleet = new Fleet(targets, racks, free, unowned, next, listedAsLeaving);
         for (TargetState target : targets.values()) {
             if (!target.owned().equals(next.on(target.id()))) {
                 fleet = fleet.with(target.withOwned(next.on(target.id())));
@@ -83,16 +83,16 @@
             next.computeIfAbsent(target.target().rack(), r -> new ArrayList<>()).add(target.id());
         }
         next.replaceAll((rack, ids) -> ids.stream().sorted().toList());
-        return new Fleet(targets, next, free, unowned, shares, listed);
+        return new Fleet(targets, next, free, unowned, shares, listedAsLeaving);
     }
 
     /** Returns the fleet with another list of leaving VMs noted; marks no target. */
-    Fleet withListed(Set<String> next) {
+    Fleet withListedAsLeaving(Set<String> next) {
         return new Fleet(targets, racks, free, unowned, shares, ImmutableSet.copyOf(next));
     }
 
     /** Returns the fleet with {@code change} made to one target. */
-    Fleet change(String id, UnaryOperator<TargetState> change) {
+    Fleet withChanged(String id, UnaryOperator<TargetState> change) {
         return with(change.apply(targets.get(id)));
     }
 
@@ -102,7 +102,7 @@
     }
 
     private static int freeUnits(TargetState target) {
-        return target.accepting() ? Math.max(0, target.free()) : 0;
+        return target.acceptsWork() ? Math.max(0, target.free()) : 0;
     }
 
     private static int unownedUnits(TargetState target) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
@@ -47,7 +47,7 @@
                 after.active().revision() >= before.active().revision(),
                 () -> "revision " + before.active().revision() + " became "
                         + after.active().revision());
-        for (String id : decision.touched()) {
+        for (String id : decision.changedTargets()) {
             TargetState target = after.fleet().target(id);
             if (target != null) {
                 target(after, target, now);
@@ -62,7 +62,7 @@
 
     /** A due timer that was not served for long shows that the whole process stood still; bounds count from its end. */
     private void notePause(CellState before, long now) {
-        if (before.nextTimer().orElse(Long.MAX_VALUE) < now - PAUSE_MILLIS) {
+        if (before.nextTimerAt().orElse(Long.MAX_VALUE) < now - PAUSE_MILLIS) {
             pauseEnd = now;
         }
     }
@@ -110,10 +110,11 @@
                         + users(after, target));
         require(
                 Invariant.GUARANTEE,
-                !target.inUse() || Shares.committed(target.owned(), load.irrevocable()) <= target.capacity(),
-                () -> target.id() + " owned=" + target.owned() + " irrevocable=" + load.irrevocable());
+                !target.isUsable()
+                        || Shares.committed(target.owned(), load.irrevocableByAccount()) <= target.capacity(),
+                () -> target.id() + " owned=" + target.owned() + " irrevocable=" + load.irrevocableByAccount());
         for (String id : load.jobs()) {
-            Job job = after.work().jobs().get(id);
+            Job job = after.workload().jobs().get(id);
             require(Invariant.BOOKKEEPING, job != null, () -> target.id() + " lists unknown request " + id);
             if (job != null) {
                 job(after, job, now);
@@ -128,7 +129,7 @@
     private static int unconfirmed(CellState after, TargetState target) {
         int units = 0;
         for (String id : target.load().jobs()) {
-            Job job = after.work().jobs().get(id);
+            Job job = after.workload().jobs().get(id);
             if (job != null && job.phase() instanceof Phase.Running running && isRecovered(after, running)) {
                 units += startingOn(running, target);
             }
@@ -138,7 +139,7 @@
 
     private static boolean isRecovered(CellState after, Phase.Running running) {
         return CellState.epochOf(running.attempt().number())
-                < CellState.epochOf(after.work().nextAttempt());
+                < CellState.epochOf(after.workload().lastAttempt());
     }
 
     private static int startingOn(Phase.Running running, TargetState target) {
@@ -154,18 +155,20 @@
     private void job(CellState after, Job job, long now) {
         if (job.phase() instanceof Phase.Running running) {
             boolean gone = running.members().values().stream()
-                    .anyMatch(m -> !m.occupies() && m.status() != MemberState.Status.ENDED);
+                    .anyMatch(m -> !m.occupiesAccelerators() && m.status() != MemberState.Status.ENDED);
             require(
                     Invariant.GANG_WHOLE,
-                    !gone || !running.occupies() || running.revocation().isPresent(),
+                    !gone
+                            || !running.occupiesAccelerators()
+                            || running.revocation().isPresent(),
                     () -> job.id() + " goes on without a member, members=" + running.members());
         }
         if (job.phase() instanceof Phase.Claiming claiming && now > boundOf(claiming)) {
-            Invariant bound = claiming.drain() ? Invariant.LARGE_JOB_BOUND : Invariant.RECLAIM_BOUND;
+            Invariant bound = claiming.forLargeJob() ? Invariant.LARGE_JOB_BOUND : Invariant.RECLAIM_BOUND;
             require(
                     bound,
                     placesFree(after, claiming),
-                    () -> job.id() + " claimed at " + claiming.since() + ", deadline " + claiming.deadline()
+                    () -> job.id() + " claimed at " + claiming.claimedAt() + ", deadline " + claiming.deadline()
                             + ", places still in use at " + now + " by " + users(after, claiming));
         }
     }
@@ -182,7 +185,7 @@
         StringBuilder text = new StringBuilder();
         text.append(target.id()).append(" owned=").append(target.owned()).append(" [");
         for (String id : target.load().jobs()) {
-            Job job = after.work().jobs().get(id);
+            Job job = after.workload().jobs().get(id);
             text.append(id).append(' ').append(job.profile().name()).append(' ');
             text.append(job.account()).append(' ').append(job.phase()).append("; ");
         }
@@ -190,8 +193,8 @@
     }
 
     private long boundOf(Phase.Claiming claiming) {
-        boolean paused = claiming.since() < pauseEnd;
-        return paused ? Math.max(claiming.deadline(), pauseEnd + 2 * policy.reclaimMillis()) : claiming.deadline();
+        boolean paused = claiming.claimedAt() < pauseEnd;
+        return paused ? Math.max(claiming.deadline(), pauseEnd + 2 * policy.maxReclaimMillis()) : claiming.deadline();
     }
 
     private static boolean placesFree(CellState after, Phase.Claiming claiming) {
@@ -241,7 +244,7 @@
         TargetState target = after.fleet().target(start.member().target());
         require(
                 Invariant.LEAVING,
-                target != null && target.inUse(),
+                target != null && target.isUsable(),
                 () -> id + " started on " + start.member().target() + ", which is leaving or lost");
         if (profile.gang()) {
             require(
@@ -274,14 +277,14 @@
     private void precedence(CellState before, Decision decision) {
         for (Note note : decision.notes()) {
             boolean placed = note.part().equals("place") && note.text().contains("attempt=");
-            Job job = placed ? before.work().jobs().get(note.request()) : null;
+            Job job = placed ? before.workload().jobs().get(note.request()) : null;
             if (job == null || !(job.phase() instanceof Phase.Queued)) {
                 continue;
             }
-            for (String head : decision.state().work().queues().heads(job.account())) {
-                Job waiting = decision.state().work().jobs().get(head);
-                Job earlier = before.work().jobs().get(head);
-                boolean waited = earlier != null && before.work().queues().isHead(earlier);
+            for (String head : decision.state().workload().queues().heads(job.account())) {
+                Job waiting = decision.state().workload().jobs().get(head);
+                Job earlier = before.workload().jobs().get(head);
+                boolean waited = earlier != null && before.workload().queues().isHead(earlier);
                 require(
                         Invariant.PRECEDENCE,
                         !waited
@@ -300,13 +303,13 @@
         Map<String, Integer> claimed = new HashMap<>();
         Map<String, Integer> units = new HashMap<>();
         int queued = 0;
-        for (Job job : state.work().jobs().values()) {
+        for (Job job : state.workload().jobs().values()) {
             tally(job, used, claimed, units);
             boolean waiting = job.phase() instanceof Phase.Queued;
             queued += waiting
-                            && state.work()
+                            && state.workload()
                                     .queues()
-                                    .waits(job.account(), job.profile().name())
+                                    .hasWaiting(job.account(), job.profile().name())
                     ? 1
                     : 0;
             job(state, job, now);
@@ -314,8 +317,8 @@
         int waits = queued;
         require(
                 Invariant.BOOKKEEPING,
-                state.work().queues().size() <= waits,
-                () -> "queues hold " + state.work().queues().size() + " but " + waits + " wait");
+                state.workload().queues().size() <= waits,
+                () -> "queues hold " + state.workload().queues().size() + " but " + waits + " wait");
         for (TargetState target : state.fleet().targets().values()) {
             int uses = used.getOrDefault(target.id(), 0);
             int claims = claimed.getOrDefault(target.id(), 0);
@@ -327,8 +330,8 @@
         }
         units.forEach((account, sum) -> require(
                 Invariant.BOOKKEEPING,
-                state.work().units().getOrDefault(account, 0).equals(sum),
-                () -> account + " counts " + state.work().units().get(account) + " but holds " + sum));
+                state.workload().unitsByAccount().getOrDefault(account, 0).equals(sum),
+                () -> account + " counts " + state.workload().unitsByAccount().get(account) + " but holds " + sum));
         return List.copyOf(found);
     }
 
@@ -341,14 +344,14 @@
             case Phase.Committing committing -> occupied(job, committing.attempt(), used, units);
             case Phase.Running running -> {
                 for (Member member : running.attempt().members()) {
-                    if (running.members().get(member.index()).occupies()) {
+                    if (running.members().get(member.index()).occupiesAccelerators()) {
                         used.merge(member.target(), member.units(), Integer::sum);
                         units.merge(job.account(), member.units(), Integer::sum);
                     }
                 }
             }
             case Phase.Queued queued -> {}
-            case Phase.Parked parked -> {}
+            case Phase.Paused paused -> {}
             case Phase.HandingOver handingOver -> {}
         }
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Job.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Job.java
@@ -14,40 +14,49 @@
  * @param sequence arrival order within the data centre; kept when the request is queued again
  * @param phase where it stands
  * @param failures attempts that ran and failed
- * @param refusals attempts in a row that were given up before any member ran
- * @param failedOn identifiers of targets that it avoids since they failed or refused it
- * @param started whether any member may have run
+ * @param abortedStarts attempts in a row that were given up before any member ran
+ * @param avoidedTargets identifiers of targets that it avoids since they failed or refused it
+ * @param startStatus whether any member may have run
  * @param checkpointed whether a saved state exists from which it resumes
- * @param cancelAsked whether the caller wants it no more
+ * @param cancelRequested whether the caller wants it no more
  */
 public record Job(
         Request request,
         long sequence,
         Phase phase,
         int failures,
-        int refusals,
-        PSet<String> failedOn,
-        Started started,
+        int abortedStarts,
+        PSet<String> avoidedTargets,
+        StartStatus startStatus,
         boolean checkpointed,
-        boolean cancelAsked) {
+        boolean cancelRequested) {
     /** What is known of starts. */
-    public enum Started {
+    public enum StartStatus {
         /** No member was ever told to start, or every one certainly did not. */
-        NO,
+        NOT_STARTED,
         /** Another scheduler may have started it. */
-        PERHAPS,
+        POSSIBLY_STARTED,
         /** A member ran, or may have. */
-        YES
+        STARTED
     }
 
     /** Returns whether any member may have run. */
-    public boolean everStarted() {
-        return started != Started.NO;
+    public boolean mayHaveRun() {
+        return startStatus != StartStatus.NOT_STARTED;
     }
 
     /** Returns a job that has just been accepted. */
     static Job accepted(Request request, long sequence) {
-        return new Job(request, sequence, new Phase.Queued(0), 0, 0, HashTreePSet.empty(), Started.NO, false, false);
+        return new Job(
+                request,
+                sequence,
+                new Phase.Queued(0),
+                0,
+                0,
+                HashTreePSet.empty(),
+                StartStatus.NOT_STARTED,
+                false,
+                false);
     }
 
     /** Returns the request's identifier. */
@@ -67,7 +76,7 @@
 
     /** Returns the accelerators that the present attempt occupies on {@code target}, or was promised there. */
     int unitsOn(String target) {
-        return phase.current().stream()
+        return phase.currentAttempt().stream()
                 .flatMap(a -> a.members().stream())
                 .filter(m -> m.target().equals(target))
                 .mapToInt(Member::units)
@@ -75,7 +84,16 @@
     }
 
     Job with(Phase next) {
-        return new Job(request, sequence, next, failures, refusals, failedOn, started, checkpointed, cancelAsked);
+        return new Job(
+                request,
+                sequence,
+                next,
+                failures,
+                abortedStarts,
+                avoidedTargets,
+                startStatus,
+                checkpointed,
+                cancelRequested);
     }
 
     Job withFailure(String target) {
@@ -84,38 +102,76 @@
                 sequence,
                 phase,
                 failures + 1,
-                refusals,
-                failedOn.plus(target),
-                started,
+                abortedStarts,
+                avoidedTargets.plus(target),
+                startStatus,
                 checkpointed,
-                cancelAsked);
+                cancelRequested);
     }
 
     /** Returns this job with {@code target} avoided next time, in place of earlier ones. */
-    Job avoiding(String target) {
+    Job withRefusalBy(String target) {
         PSet<String> avoided = HashTreePSet.singleton(target);
-        return new Job(request, sequence, phase, failures, refusals + 1, avoided, started, checkpointed, cancelAsked);
+        return new Job(
+                request,
+                sequence,
+                phase,
+                failures,
+                abortedStarts + 1,
+                avoided,
+                startStatus,
+                checkpointed,
+                cancelRequested);
     }
 
-    Job withRefusal() {
-        return new Job(request, sequence, phase, failures, refusals + 1, failedOn, started, checkpointed, cancelAsked);
+    Job withAbortedStart() {
+        return new Job(
+                request,
+                sequence,
+                phase,
+                failures,
+                abortedStarts + 1,
+                avoidedTargets,
+                startStatus,
+                checkpointed,
+                cancelRequested);
     }
 
     Job withStart() {
-        return new Job(request, sequence, phase, failures, 0, failedOn, Started.YES, checkpointed, cancelAsked);
+        return new Job(
+                request,
+                sequence,
+                phase,
+                failures,
+                0,
+                avoidedTargets,
+                StartStatus.STARTED,
+                checkpointed,
+                cancelRequested);
     }
 
     /** Returns this job as one that another scheduler may have started. */
-    Job withPerhaps() {
-        Started known = started == Started.NO ? Started.PERHAPS : started;
-        return new Job(request, sequence, phase, failures, refusals, failedOn, known, checkpointed, cancelAsked);
+    Job withPossibleStart() {
+        StartStatus known = startStatus == StartStatus.NOT_STARTED ? StartStatus.POSSIBLY_STARTED : startStatus;
+        return new Job(
+                request,
+                sequence,
+                phase,
+                failures,
+                abortedStarts,
+                avoidedTargets,
+                known,
+                checkpointed,
+                cancelRequested);
     }
 
     Job withCheckpoint(boolean saved) {
-        return new Job(request, sequence, phase, failures, refusals, failedOn, started, saved, cancelAsked);
+        return new Job(
+                request, sequence, phase, failures, abortedStarts, avoidedTargets, startStatus, saved, cancelRequested);
     }
 
-    Job withCancelAsked() {
-        return new Job(request, sequence, phase, failures, refusals, failedOn, started, checkpointed, true);
+    Job withCancelRequested() {
+        return new Job(
+                request, sequence, phase, failures, abortedStarts, avoidedTargets, startStatus, checkpointed, true);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/MemberState.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/MemberState.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns whether the member still occupies accelerators. */
-    public boolean occupies() {
+    public boolean occupiesAccelerators() {
         return status == Status.STARTING || status == Status.RUNNING;
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
@@ -43,10 +43,10 @@
             evacuate();
         }
         if (!was && next.inService(here)) {
-            draft.setGate(draft.gate().withReturn(draft.now()));
+            draft.setGate(draft.gate().withReturnToService(draft.now()));
             requeueWaiting();
         }
-        draft.wantDispatch();
+        draft.requestDispatch();
     }
 
     private void replaceTargets(List<Target> targets) {
@@ -56,7 +56,7 @@
             present.add(target.id());
             TargetState state = fleet.target(target.id());
             if (state == null) {
-                boolean leaving = fleet.listed().contains(target.id());
+                boolean leaving = fleet.listedAsLeaving().contains(target.id());
                 fleet = fleet.with(
                         TargetState.empty(target).withReachable(false).withLeaving(leaving));
             } else if (state.load().jobs().isEmpty() || target.accelerators() >= state.capacity()) {
@@ -70,7 +70,7 @@
                 continue;
             }
             boolean empty = fleet.target(id).load().jobs().isEmpty()
-                    && fleet.target(id).load().parked().isEmpty();
+                    && fleet.target(id).load().paused().isEmpty();
             fleet = empty ? fleet.without(id) : fleet.with(fleet.target(id).withLeaving(true));
         }
         draft.setFleet(fleet.withRacks());
@@ -79,8 +79,8 @@
 
     /** Marks exactly the targets in {@code listed} as leaving, and takes off what may be taken off them. */
     void applyLeavingList(Set<String> listed) {
-        if (!listed.equals(draft.fleet().listed())) {
-            draft.noteListed(listed);
+        if (!listed.equals(draft.fleet().listedAsLeaving())) {
+            draft.setListedAsLeaving(listed);
         }
         Set<String> configured = draft
                 .active()
@@ -126,16 +126,16 @@
         }
         draft.changeTarget(id, t -> t.withReachable(false));
         draft.note(PART, "target=" + id + " lost why=its lease lapsed");
-        for (String job : target.load().parked()) {
-            if (draft.job(job).phase() instanceof Phase.Parked parked) {
-                new PausedJobs(draft).evict(draft.job(job), parked, "target " + id + " was lost");
+        for (String job : target.load().paused()) {
+            if (draft.job(job).phase() instanceof Phase.Paused paused) {
+                new PausedJobs(draft).evict(draft.job(job), paused, "target " + id + " was lost");
             }
         }
         for (String job : target.load().jobs()) {
             loseMembers(draft.job(job), id);
         }
         reassignGuarantees();
-        draft.wantDispatch();
+        draft.requestDispatch();
     }
 
     private void loseMembers(Job job, String target) {
@@ -157,7 +157,7 @@
             }
             case Phase.Committing committing -> {}
             case Phase.Queued queued -> {}
-            case Phase.Parked parked -> {}
+            case Phase.Paused paused -> {}
             case Phase.HandingOver handingOver -> {}
         }
     }
@@ -167,30 +167,30 @@
         if (draft.fleet().shares().owed() > 0) {
             reassignGuarantees();
         }
-        draft.wantDispatch();
+        draft.requestDispatch();
     }
 
     /** Assigns the guarantees anew wherever the present targets no longer carry them. */
     void reassignGuarantees() {
         List<Shares.Place> places = new ArrayList<>();
         for (TargetState target : new TreeMap<>(draft.fleet().targets()).values()) {
-            if (target.trusted()) {
+            if (target.isTrusted()) {
                 places.add(new Shares.Place(
                         target.id(),
                         target.target().rack(),
                         target.capacity(),
-                        target.load().irrevocable()));
+                        target.load().irrevocableByAccount()));
             }
         }
         Shares previous = draft.fleet().shares();
         Shares next =
                 Shares.assign(draft.active().configuration(), draft.state().dataCentre(), places, previous);
         draft.setFleet(draft.fleet().with(next));
-        draft.revisitClaims();
+        draft.recheckClaims();
         if (next.owed() != previous.owed()) {
             draft.note(PART, "guaranteed slices owed=" + next.owed() + " why=the targets in use cannot hold them now");
         }
-        draft.wantDispatch();
+        draft.requestDispatch();
     }
 
     /** Takes revocable work off everywhere and gives up whatever has not started. */
@@ -203,8 +203,8 @@
                 case Phase.Reserving reserving ->
                     new Starter(draft).abandon(job, reserving.attempt(), "the data centre goes out of service");
                 case Phase.Running running -> depart(job, running);
-                case Phase.Parked parked ->
-                    new PausedJobs(draft).evict(job, parked, "the data centre goes out of service");
+                case Phase.Paused paused ->
+                    new PausedJobs(draft).evict(job, paused, "the data centre goes out of service");
                 case Phase.Queued queued -> {}
                 case Phase.Committing committing -> {}
                 case Phase.HandingOver handingOver -> {}
@@ -222,20 +222,20 @@
                 case Phase.Running running -> depart(job, running);
                 case Phase.Queued queued -> {}
                 case Phase.Committing committing -> {}
-                case Phase.Parked parked -> {}
+                case Phase.Paused paused -> {}
                 case Phase.HandingOver handingOver -> {}
             }
         }
-        for (String id : state.load().parked()) {
-            if (draft.job(id).phase() instanceof Phase.Parked parked) {
-                new PausedJobs(draft).evict(draft.job(id), parked, "target leaves");
+        for (String id : state.load().paused()) {
+            if (draft.job(id).phase() instanceof Phase.Paused paused) {
+                new PausedJobs(draft).evict(draft.job(id), paused, "target leaves");
             }
         }
     }
 
     private void depart(Job job, Phase.Running running) {
         if (job.profile().revocable() && running.revocation().isEmpty()) {
-            new Revoker(draft).revoke(job, Revocation.Purpose.DEPARTURE, "out of service");
+            new Revoker(draft).revoke(job, Revocation.Cause.OUT_OF_SERVICE, "out of service");
         }
     }
 
@@ -250,7 +250,7 @@
             if (job.phase() instanceof Phase.Queued) {
                 draft.dequeue(job);
                 draft.put(job.with(new Phase.HandingOver()));
-                draft.command(new Command.HandOver(job.request()));
+                draft.addCommand(new Command.HandOver(job.request()));
                 draft.note(PART, job, "handed over why=the data centre is out of service");
             }
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Phase.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Phase.java
@@ -17,13 +17,13 @@
      * Its places are chosen and promised, and other work is being taken off them.
      *
      * @param attempt the places
-     * @param drain whether it waits for irrevocable work to end, as large jobs may
-     * @param since when the places were promised, in milliseconds
+     * @param forLargeJob whether it waits for irrevocable work to end, as large jobs may
+     * @param claimedAt when the places were promised, in milliseconds
      * @param deadline when the places must be free, in milliseconds; {@link Long#MAX_VALUE} if owners may come first
      */
-    record Claiming(Attempt attempt, boolean drain, long since, long deadline) implements Phase {
+    record Claiming(Attempt attempt, boolean forLargeJob, long claimedAt, long deadline) implements Phase {
         /** Returns whether the places have a deadline. */
-        boolean bounded() {
+        boolean hasDeadline() {
             return deadline != Long.MAX_VALUE;
         }
     }
@@ -70,8 +70,8 @@
         }
 
         /** Returns whether any member still occupies accelerators. */
-        boolean occupies() {
-            return members.values().stream().anyMatch(MemberState::occupies);
+        boolean occupiesAccelerators() {
+            return members.values().stream().anyMatch(MemberState::occupiesAccelerators);
         }
     }
 
@@ -80,15 +80,15 @@
      *
      * @param attempt the places
      * @param remainingMillis run limit left when it was paused, in milliseconds
-     * @param until when it is queued again if it may run again, in milliseconds
+     * @param requeueAt when it is queued again if it may run again, in milliseconds
      */
-    record Parked(Attempt attempt, long remainingMillis, long until) implements Phase {}
+    record Paused(Attempt attempt, long remainingMillis, long requeueAt) implements Phase {}
 
     /** Being passed to another data centre; the log has not answered yet. */
     record HandingOver() implements Phase {}
 
     /** Returns the attempt under way. */
-    default Optional<Attempt> current() {
+    default Optional<Attempt> currentAttempt() {
         return switch (this) {
             case Queued queued -> Optional.empty();
             case HandingOver handingOver -> Optional.empty();
@@ -96,7 +96,7 @@
             case Reserving reserving -> Optional.of(reserving.attempt());
             case Committing committing -> Optional.of(committing.attempt());
             case Running running -> Optional.of(running.attempt());
-            case Parked parked -> Optional.of(parked.attempt());
+            case Paused paused -> Optional.of(paused.attempt());
         };
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
@@ -79,21 +79,22 @@
 
     private boolean claimable(TargetState target) {
         int owned = target.owned().getOrDefault(job.account(), 0);
-        int kept = target.load().of(job.account()).total() - Victims.ownPreemptibleUnits(draft, target, job);
+        int kept = target.load().usageOf(job.account()).total() - Victims.ownPreemptibleUnits(draft, target, job);
         boolean preservesGuarantees =
                 profile.revocable() || draft.rules().preservesGuarantees(target, job.account(), units(target));
         return preservesGuarantees
                 && draft.rules().acceptsWork(target)
-                && !job.failedOn().contains(target.id())
+                && !job.avoidedTargets().contains(target.id())
                 && owned - kept - target.load().claimedBy(job.account()) >= units(target);
     }
 
     private boolean fitsNow(TargetState target) {
         int units = units(target);
-        boolean trusted = target.health().suspects().isEmpty() || profile.idempotent() && !profile.gang();
+        boolean trusted =
+                target.health().accountsByFailedRequest().isEmpty() || profile.idempotent() && !profile.gang();
         return draft.rules().acceptsWork(target)
                 && trusted
-                && !job.failedOn().contains(target.id())
+                && !job.avoidedTargets().contains(target.id())
                 && draft.rules().fits(target, units)
                 && (profile.revocable() || draft.rules().preservesGuarantees(target, job.account(), units));
     }
@@ -102,7 +103,7 @@
         TargetState best = null;
         for (Slice slice : draft.fleet().shares().of(job.account())) {
             TargetState target = draft.fleet().target(slice.target());
-            boolean own = target != null && target.entitled(job.account()) >= units(target);
+            boolean own = target != null && target.unusedOwnedBy(job.account()) >= units(target);
             if (own && fitsNow(target) && (best == null || target.free() < best.free())) {
                 best = target;
             }
@@ -124,7 +125,7 @@
         List<TargetState> best = null;
         int bestLeft = Integer.MAX_VALUE;
         for (String rack : draft.fleet().racks().keySet()) {
-            if (draft.fleet().free().inRack(rack, least) < needed) {
+            if (draft.fleet().free().countInRack(rack, least) < needed) {
                 continue;
             }
             List<TargetState> chosen =
--- a/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
@@ -19,11 +19,11 @@
 
     void recordSuccess(String id) {
         TargetState target = draft.fleet().target(id);
-        if (target == null || target.health().equals(Health.GOOD)) {
+        if (target == null || target.health().equals(Health.HEALTHY)) {
             return;
         }
-        boolean probed = target.health().probes() > 0;
-        draft.changeTarget(id, t -> t.with(Health.GOOD));
+        boolean probed = target.health().failedProbes() > 0;
+        draft.changeTarget(id, t -> t.with(Health.HEALTHY));
         if (probed) {
             draft.note(PART, "target=" + id + " trusted again why=a task succeeded");
             new Membership(draft).reassignOwedSlices();
@@ -32,31 +32,31 @@
 
     void recordFailure(String id, Job job) {
         TargetState target = draft.fleet().target(id);
-        if (target == null || target.health().probation()) {
+        if (target == null || target.health().onProbation()) {
             return;
         }
-        if (target.health().probed()) {
-            begin(target, target.health().probes() + 1);
+        if (target.health().awaitsProbeResult()) {
+            begin(target, target.health().failedProbes() + 1);
             return;
         }
-        Health health = target.health().withSuspect(job.id(), job.account());
+        Health health = target.health().withFailedRequest(job.id(), job.account());
         draft.changeTarget(id, t -> t.with(health));
-        int few = draft.policy().suspectsForProbation();
-        int enough = health.accounts() > 1 ? few : few * ONE_ACCOUNT_FACTOR;
-        if (health.suspects().size() >= enough) {
+        int few = draft.policy().failuresForProbation();
+        int enough = health.countAffectedAccounts() > 1 ? few : few * ONE_ACCOUNT_FACTOR;
+        if (health.accountsByFailedRequest().size() >= enough) {
             begin(draft.fleet().target(id), 1);
         }
     }
 
     /** Takes back the suspicion that a job cast on targets, since it failed on every one. */
     void clearSuspicion(Job job) {
-        if (job.failedOn().size() < 2) {
+        if (job.avoidedTargets().size() < 2) {
             return;
         }
-        for (String id : job.failedOn()) {
+        for (String id : job.avoidedTargets()) {
             TargetState target = draft.fleet().target(id);
-            if (target != null && target.health().suspects().containsKey(job.id())) {
-                draft.changeTarget(id, t -> t.with(t.health().withoutSuspect(job.id())));
+            if (target != null && target.health().accountsByFailedRequest().containsKey(job.id())) {
+                draft.changeTarget(id, t -> t.with(t.health().withoutFailedRequest(job.id())));
             }
         }
     }
@@ -64,20 +64,21 @@
     /** Lets one task through to a target whose pause has passed. */
     void allowProbe(String id) {
         TargetState target = draft.fleet().target(id);
-        if (target == null || !target.health().probation() || target.health().probeAt() > draft.now()) {
+        if (target == null || !target.health().onProbation() || target.health().nextProbeAt() > draft.now()) {
             return;
         }
-        draft.changeTarget(id, t -> t.with(t.health().probing()));
+        draft.changeTarget(id, t -> t.with(t.health().withProbeAllowed()));
         draft.note(PART, "target=" + id + " probed by its next task");
-        draft.wantDispatch();
+        draft.requestDispatch();
     }
 
     private void begin(TargetState target, int probes) {
         long pause = Math.min(
-                draft.policy().maxProbeMillis(), draft.policy().probeMillis() << Math.min(probes - 1, MOST_DOUBLINGS));
+                draft.policy().maxProbeDelayMillis(),
+                draft.policy().initialProbeDelayMillis() << Math.min(probes - 1, MOST_DOUBLINGS));
         long at = draft.now() + pause;
-        draft.changeTarget(target.id(), t -> t.with(t.health().onProbation(probes, at)));
-        draft.timer(at, Timer.Kind.PROBE, target.id(), 0);
+        draft.changeTarget(target.id(), t -> t.with(t.health().withProbation(probes, at)));
+        draft.addTimer(at, Timer.Kind.PROBE, target.id(), 0);
         draft.note(
                 PART,
                 "target=" + target.id() + " on probation probes=" + probes + " until=" + at
--- a/acacia-core/src/main/java/org/acaciaport/decision/Queues.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Queues.java
@@ -76,7 +76,7 @@
     }
 
     /** Returns whether requests of {@code profile} wait in {@code account}. */
-    public boolean waits(String account, String profile) {
+    public boolean hasWaiting(String account, String profile) {
         return queue(account, profile) != null;
     }
 
--- a/acacia-core/src/main/java/org/acaciaport/decision/RackLoad.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RackCapacity.java
@@ -5,28 +5,28 @@
  *
  * <p>Immutable; the array is never handed out.
  */
-final class RackLoad {
+final class RackCapacity {
     /** Most accelerators on a target, as the configuration check allows. */
-    private static final int MAX_UNITS = 64;
+    private static final int MAX_UNITS_PER_TARGET = 64;
 
-    static final RackLoad EMPTY = new RackLoad(new short[MAX_UNITS + 1]);
+    static final RackCapacity EMPTY = new RackCapacity(new short[MAX_UNITS_PER_TARGET + 1]);
 
     private final short[] targetsByFree;
 
-    private RackLoad(short[] targetsByFree) {
+    private RackCapacity(short[] targetsByFree) {
         this.targetsByFree = targetsByFree;
     }
 
-    RackLoad plus(int free, int targets) {
+    RackCapacity plus(int free, int targets) {
         short[] next = targetsByFree.clone();
         next[free] = (short) (next[free] + targets);
-        return new RackLoad(next);
+        return new RackCapacity(next);
     }
 
     /** Returns how many targets have at least {@code units} free. */
-    int atLeast(int units) {
+    int countAtLeast(int units) {
         int count = 0;
-        for (int free = units; free <= MAX_UNITS; free++) {
+        for (int free = units; free <= MAX_UNITS_PER_TARGET; free++) {
             count += targetsByFree[free];
         }
         return count;
--- a/acacia-core/src/main/java/org/acaciaport/decision/Revocation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Revocation.java
@@ -7,18 +7,18 @@
  *
  * <p>Immutable.
  *
- * @param purpose why
- * @param stage treatment now under way
+ * @param cause why
+ * @param treatment treatment now under way
  * @param deadline when the next treatment is tried, in milliseconds
  * @param reason one sentence for logs and answers
  */
-public record Revocation(Purpose purpose, Treatment stage, long deadline, String reason) {
+public record Revocation(Cause cause, Treatment treatment, long deadline, String reason) {
     /** Why running work is taken off. */
-    public enum Purpose {
+    public enum Cause {
         /** An account claims its guarantee, or a large job its turn. */
         RECLAIM,
         /** The target or the data centre goes out of service. */
-        DEPARTURE,
+        OUT_OF_SERVICE,
         /** The caller cancelled. */
         CANCEL,
         /** The run limit has passed. */
--- a/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
@@ -32,20 +32,20 @@
 
     private void takeOff(Job victim, String reason) {
         if (victim.phase() instanceof Phase.Running) {
-            revoke(victim, Revocation.Purpose.RECLAIM, reason);
+            revoke(victim, Revocation.Cause.RECLAIM, reason);
         } else {
             new Starter(draft).withdraw(victim, reason);
         }
     }
 
     /** Begins with the first treatment that the profile allows. */
-    void revoke(Job job, Revocation.Purpose purpose, String reason) {
-        begin(job, purpose, next(job, Optional.empty()).orElse(Treatment.STOP), reason);
+    void revoke(Job job, Revocation.Cause cause, String reason) {
+        begin(job, cause, next(job, Optional.empty()).orElse(Treatment.STOP), reason);
     }
 
     /** Stops the work at once. */
-    void stop(Job job, Revocation.Purpose purpose, String reason) {
-        begin(job, purpose, Treatment.STOP, reason);
+    void stop(Job job, Revocation.Cause cause, String reason) {
+        begin(job, cause, Treatment.STOP, reason);
     }
 
     /** Goes on to the next treatment once the present one has passed its deadline. */
@@ -54,7 +54,7 @@
         if (draft.now() < revocation.deadline()) {
             return;
         }
-        Optional<Treatment> next = next(job, Optional.of(revocation.stage()));
+        Optional<Treatment> next = next(job, Optional.of(revocation.treatment()));
         if (next.isEmpty()) {
             loseRest(job, running);
             return;
@@ -62,33 +62,33 @@
         treat(
                 job,
                 running,
-                new Revocation(revocation.purpose(), next.get(), deadline(running, next.get()), revocation.reason()));
+                new Revocation(revocation.cause(), next.get(), deadline(running, next.get()), revocation.reason()));
     }
 
-    private void begin(Job job, Revocation.Purpose purpose, Treatment stage, String reason) {
+    private void begin(Job job, Revocation.Cause cause, Treatment stage, String reason) {
         Phase.Running running = (Phase.Running) job.phase();
         if (running.revocation().isEmpty()) {
             for (Member member : running.attempt().members()) {
-                if (running.members().get(member.index()).occupies()) {
+                if (running.members().get(member.index()).occupiesAccelerators()) {
                     draft.changeTarget(member.target(), t -> t.with(t.load().withRevoking(member.units())));
                 }
             }
         }
         draft.note(PART, job, "treatment=" + stage + " why=" + reason);
-        treat(job, running, new Revocation(purpose, stage, deadline(running, stage), reason));
+        treat(job, running, new Revocation(cause, stage, deadline(running, stage), reason));
     }
 
     private void treat(Job job, Phase.Running running, Revocation revocation) {
         draft.put(job.with(running.with(revocation)));
-        draft.timer(
+        draft.addTimer(
                 revocation.deadline(),
-                Timer.Kind.REVOCATION,
+                Timer.Kind.TREATMENT_TIMEOUT,
                 job.id(),
                 running.attempt().number());
         for (Member member : running.attempt().members()) {
-            if (running.members().get(member.index()).occupies()) {
-                draft.command(new Command.Treat(
-                        job.id(), running.attempt().number(), member, revocation.stage(), revocation.deadline()));
+            if (running.members().get(member.index()).occupiesAccelerators()) {
+                draft.addCommand(new Command.Treat(
+                        job.id(), running.attempt().number(), member, revocation.treatment(), revocation.deadline()));
             }
         }
     }
@@ -97,7 +97,7 @@
     private void loseRest(Job job, Phase.Running running) {
         RunTracker tracker = new RunTracker(draft);
         for (Member member : running.attempt().members()) {
-            if (running.members().get(member.index()).occupies()) {
+            if (running.members().get(member.index()).occupiesAccelerators()) {
                 tracker.handleMemberChange(
                         job.id(), running.attempt().number(), member.index(), MemberState.of(MemberState.Status.LOST));
             }
@@ -112,20 +112,20 @@
     }
 
     private boolean mayThrottle(Job job) {
-        Attempt attempt = job.phase().current().orElseThrow();
+        Attempt attempt = job.phase().currentAttempt().orElseThrow();
         Member only = attempt.members().getFirst();
         return attempt.members().size() == 1
-                && draft.fleet().target(only.target()).load().parked().isEmpty();
+                && draft.fleet().target(only.target()).load().paused().isEmpty();
     }
 
     /** A start under way may overtake a stop, so a stop is given until the start deadline has passed as well. */
     private long deadline(Phase.Running running, Treatment treatment) {
         boolean starting = running.members().values().stream().anyMatch(m -> m.status() == MemberState.Status.STARTING);
         return switch (treatment) {
-            case CHECKPOINT -> draft.now() + draft.policy().checkpointMillis();
-            case THROTTLE -> draft.now() + draft.policy().throttleMillis();
+            case CHECKPOINT -> draft.now() + draft.policy().checkpointTimeoutMillis();
+            case THROTTLE -> draft.now() + draft.policy().throttleTimeoutMillis();
             case STOP ->
-                draft.policy().stopMillis()
+                draft.policy().stopTimeoutMillis()
                         + (starting ? Math.max(draft.now(), running.attempt().startBefore()) : draft.now());
         };
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Rules.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Rules.java
@@ -27,17 +27,17 @@
 
     /** Returns whether irrevocable work of {@code account} leaves what others own on {@code target} reclaimable. */
     boolean preservesGuarantees(TargetState target, String account, int units) {
-        return target.unownedFor(account) >= units;
+        return target.irrevocableCapacityFor(account) >= units;
     }
 
     /** Returns whether work may start now. */
-    boolean mayStart(CellState state, Gate gate, long now) {
+    boolean mayStart(CellState state, StartGate gate, long now) {
         return gate.permitUntil() > now && state.active().inService(state.dataCentre());
     }
 
     /** Returns whether {@code target} takes new work. */
     boolean acceptsWork(TargetState target) {
-        return target.accepting();
+        return target.acceptsWork();
     }
 
     /** Returns whether a started request may be started again from its beginning. */
@@ -77,7 +77,7 @@
 
     /** Returns whether {@code target} may start what was placed there before. */
     boolean mayStartOn(TargetState target) {
-        return target != null && target.inUse();
+        return target != null && target.isUsable();
     }
 
     /** Returns whether {@code next} replaces {@code previous}. */
@@ -103,7 +103,7 @@
 
     /** Returns whether the request may be answered as not run. */
     boolean neverStarted(Job job) {
-        return !job.everStarted();
+        return !job.mayHaveRun();
     }
 
     /** Returns whether the rest of a gang is taken off once a member is gone. */
--- a/acacia-core/src/main/java/org/acaciaport/decision/RunTimes.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RunTimes.java
@@ -9,8 +9,8 @@
  * <p>Immutable; the array is never handed out.
  */
 final class RunTimes {
-    private static final int KEPT = 32;
-    private static final int FEWEST = 5;
+    private static final int MAX_SAMPLES = 32;
+    private static final int MIN_SAMPLES = 5;
     private static final int PERCENTILE = 90;
 
     static final RunTimes NONE = new RunTimes(new long[0], 0);
@@ -24,15 +24,15 @@
     }
 
     RunTimes plus(long runMillis) {
-        long[] kept = millis.length < KEPT ? Arrays.copyOf(millis, millis.length + 1) : millis.clone();
-        int at = millis.length < KEPT ? millis.length : next;
+        long[] kept = millis.length < MAX_SAMPLES ? Arrays.copyOf(millis, millis.length + 1) : millis.clone();
+        int at = millis.length < MAX_SAMPLES ? millis.length : next;
         kept[at] = runMillis;
-        return new RunTimes(kept, (at + 1) % KEPT);
+        return new RunTimes(kept, (at + 1) % MAX_SAMPLES);
     }
 
     /** Returns a run time that few runs exceed, in milliseconds; empty until enough runs were seen. */
-    OptionalLong high() {
-        if (millis.length < FEWEST) {
+    OptionalLong highPercentileMillis() {
+        if (millis.length < MIN_SAMPLES) {
             return OptionalLong.empty();
         }
         long[] sorted = millis.clone();
--- a/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
@@ -29,11 +29,11 @@
                 || !(job.phase() instanceof Phase.Running running)
                 || running.attempt().number() != attempt
                 || !running.members().containsKey(member)
-                || !running.members().get(member).occupies()) {
+                || !running.members().get(member).occupiesAccelerators()) {
             draft.note(PART, "dropped a late or doubled report, request=" + request + " attempt=" + attempt);
             return;
         }
-        if (state.status() == MemberState.Status.NOT_STARTED && draft.recovered(running.attempt())) {
+        if (state.status() == MemberState.Status.NOT_STARTED && draft.isFromEarlierLeader(running.attempt())) {
             handleMemberChange(request, attempt, member, MemberState.of(MemberState.Status.LOST));
             return;
         }
@@ -42,14 +42,14 @@
         Member place = running.attempt().members().get(member);
         changed = changed.with(next);
         draft.put(changed);
-        if (state.occupies()) {
+        if (state.occupiesAccelerators()) {
             return;
         }
         boolean revoking = running.revocation().isPresent();
         draft.vacate(changed, place, revoking);
         judgeTarget(changed, next, place, state);
         changed = draft.job(request);
-        if (!next.occupies()) {
+        if (!next.occupiesAccelerators()) {
             settle(changed, next);
         } else if (!revoking) {
             endRest(changed, state, place);
@@ -68,7 +68,7 @@
         }
         if (state.status() == MemberState.Status.NOT_STARTED
                 && running.revocation().isEmpty()) {
-            draft.put(job.avoiding(place.target()));
+            draft.put(job.withRefusalBy(place.target()));
             probation.recordFailure(place.target(), job);
         }
     }
@@ -83,12 +83,12 @@
             case FAILED ->
                 revoker.stop(
                         job,
-                        Revocation.Purpose.MEMBER_FAILED,
+                        Revocation.Cause.MEMBER_FAILED,
                         "member failed on " + gone.target() + ": " + state.output());
             case NOT_STARTED ->
-                revoker.stop(job, Revocation.Purpose.MEMBER_REFUSED, gone.target() + " refused to start a member");
+                revoker.stop(job, Revocation.Cause.MEMBER_REFUSED, gone.target() + " refused to start a member");
             case LOST, STOPPED, CHECKPOINTED, THROTTLED ->
-                revoker.stop(job, Revocation.Purpose.MEMBER_LOST, "member lost on " + gone.target());
+                revoker.stop(job, Revocation.Cause.MEMBER_LOST, "member lost on " + gone.target());
             case STARTING, RUNNING, ENDED -> {}
         }
     }
@@ -103,10 +103,9 @@
             settleNotStarted(job, running);
             return;
         }
-        Revocation.Purpose purpose =
-                running.revocation().map(Revocation::purpose).orElse(purposeOf(running));
+        Revocation.Cause cause = running.revocation().map(Revocation::cause).orElse(causeOf(running));
         String reason = running.revocation().map(Revocation::reason).orElse("member state " + states(running));
-        if (job.cancelAsked()) {
+        if (job.cancelRequested()) {
             draft.finish(job, new Outcome.Cancelled(true));
             return;
         }
@@ -114,8 +113,8 @@
             park(job, running);
             return;
         }
-        switch (purpose) {
-            case RECLAIM, DEPARTURE -> settleRevoked(job, running, reason);
+        switch (cause) {
+            case RECLAIM, OUT_OF_SERVICE -> settleRevoked(job, running, reason);
             case CANCEL -> draft.finish(job, new Outcome.Cancelled(true));
             case RUN_LIMIT ->
                 draft.finish(
@@ -128,20 +127,21 @@
 
     private void settleNotStarted(Job job, Phase.Running running) {
         if (draft.rules().requiresIntent(job.profile())) {
-            draft.command(new Command.RecordVoid(job.id(), running.attempt().number(), false));
+            draft.addCommand(new Command.RecordVoid(job.id(), running.attempt().number(), false));
         }
-        if (job.cancelAsked()) {
-            draft.finish(job, new Outcome.Cancelled(job.everStarted()));
+        if (job.cancelRequested()) {
+            draft.finish(job, new Outcome.Cancelled(job.mayHaveRun()));
             return;
         }
         draft.note(PART, job, "no member was started, queued again");
-        draft.defer(job, draft.now() + draft.policy().retryAfter(job.refusals()));
+        draft.defer(job, draft.now() + draft.policy().retryDelayMillis(job.abortedStarts()));
     }
 
     private void settleRevoked(Job job, Phase.Running running, String reason) {
         if (all(running, MemberState.Status.CHECKPOINTED)) {
             if (draft.rules().requiresIntent(job.profile())) {
-                draft.command(new Command.RecordVoid(job.id(), running.attempt().number(), true));
+                draft.addCommand(
+                        new Command.RecordVoid(job.id(), running.attempt().number(), true));
             }
             draft.note(PART, job, "checkpointed and queued again");
             draft.enqueue(job.withCheckpoint(true));
@@ -159,28 +159,28 @@
     private void settleFailed(Job job, String reason) {
         String profile = job.profile().name();
         boolean again = draft.rules().mayRunAgain(job)
-                && job.failures() < draft.policy().maxFailures();
+                && job.failures() < draft.policy().maxFailedAttempts();
         if (!again) {
             new Probation(draft).clearSuspicion(job);
             draft.finish(job, new Outcome.Failed(reason));
             return;
         }
-        if (!draft.budget(profile).allows()) {
+        if (!draft.retryBudget(profile).allowsRetry()) {
             draft.finish(
                     job,
                     new Outcome.Failed(reason + "; too many retries of profile " + profile
                             + " at present, submit it again later"));
             return;
         }
-        draft.setBudget(profile, draft.budget(profile).spend());
-        long pause = draft.policy().retryAfter(job.failures());
+        draft.setRetryBudget(profile, draft.retryBudget(profile).spend());
+        long pause = draft.policy().retryDelayMillis(job.failures());
         draft.note(PART, job, "failed and retried after ms=" + pause + " why=" + reason);
         draft.defer(job, draft.now() + pause);
     }
 
     private void settleRefused(Job job, String reason) {
-        if (draft.rules().mayRunAgain(job) || !job.everStarted()) {
-            draft.defer(job, draft.now() + draft.policy().retryAfter(job.refusals()));
+        if (draft.rules().mayRunAgain(job) || !job.mayHaveRun()) {
+            draft.defer(job, draft.now() + draft.policy().retryDelayMillis(job.abortedStarts()));
         } else {
             draft.finish(job, new Outcome.Failed("stopped because " + reason));
         }
@@ -198,22 +198,23 @@
     private void park(Job job, Phase.Running running) {
         Member only = running.attempt().members().getFirst();
         long remaining = Math.max(0, running.runDeadline() - draft.now());
-        long until = draft.now() + draft.policy().patienceMillis();
-        draft.put(job.with(new Phase.Parked(running.attempt(), remaining, until)));
-        draft.park(job, only.target());
-        draft.timer(until, Timer.Kind.STEP, job.id(), running.attempt().number());
+        long until = draft.now() + draft.policy().starvationMillis();
+        draft.put(job.with(new Phase.Paused(running.attempt(), remaining, until)));
+        draft.addPaused(job, only.target());
+        draft.addTimer(
+                until, Timer.Kind.STEP_TIMEOUT, job.id(), running.attempt().number());
         draft.note(PART, job, "paused on target=" + only.target());
     }
 
-    private static Revocation.Purpose purposeOf(Phase.Running running) {
+    private static Revocation.Cause causeOf(Phase.Running running) {
         if (has(running, MemberState.Status.FAILED)) {
-            return Revocation.Purpose.MEMBER_FAILED;
+            return Revocation.Cause.MEMBER_FAILED;
         }
         return has(running, MemberState.Status.NOT_STARTED)
                         && !has(running, MemberState.Status.LOST)
                         && !has(running, MemberState.Status.STOPPED)
-                ? Revocation.Purpose.MEMBER_REFUSED
-                : Revocation.Purpose.MEMBER_LOST;
+                ? Revocation.Cause.MEMBER_REFUSED
+                : Revocation.Cause.MEMBER_LOST;
     }
 
     private static String states(Phase.Running running) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
@@ -29,11 +29,11 @@
             commit(job, attempt);
             return;
         }
-        long deadline = draft.now() + draft.policy().reserveMillis();
+        long deadline = draft.now() + draft.policy().reserveTimeoutMillis();
         draft.put(job.with(new Phase.Reserving(attempt, HashTreePSet.empty())));
-        draft.timer(deadline, Timer.Kind.STEP, job.id(), attempt.number());
+        draft.addTimer(deadline, Timer.Kind.STEP_TIMEOUT, job.id(), attempt.number());
         for (Member member : attempt.members()) {
-            draft.command(new Command.Reserve(job.id(), attempt.number(), member, deadline));
+            draft.addCommand(new Command.Reserve(job.id(), attempt.number(), member, deadline));
         }
     }
 
@@ -47,7 +47,7 @@
         }
         if (!answer.granted()) {
             String target = reserving.attempt().members().get(answer.member()).target();
-            abandon(job.avoiding(target), reserving.attempt(), "target " + target + " refused to hold a place");
+            abandon(job.withRefusalBy(target), reserving.attempt(), "target " + target + " refused to hold a place");
             return;
         }
         Phase.Reserving next =
@@ -66,14 +66,14 @@
                 || committing.attempt().number() != answer.attempt()) {
             return;
         }
-        if (answer.recorded() && !job.cancelAsked()) {
+        if (answer.recorded() && !job.cancelRequested()) {
             start(job, committing.attempt(), true);
             return;
         }
         if (answer.recorded()) {
-            draft.command(new Command.RecordVoid(job.id(), answer.attempt(), false));
+            draft.addCommand(new Command.RecordVoid(job.id(), answer.attempt(), false));
         }
-        abandon(job, committing.attempt(), job.cancelAsked() ? "cancelled" : "the log did not record the intent");
+        abandon(job, committing.attempt(), job.cancelRequested() ? "cancelled" : "the log did not record the intent");
     }
 
     /** Handles a step that took too long. */
@@ -85,7 +85,7 @@
                 }
             }
             case Phase.Running running -> {
-                long silentAt = running.attempt().startBefore() + draft.policy().stopMillis();
+                long silentAt = running.attempt().startBefore() + draft.policy().stopTimeoutMillis();
                 if (running.attempt().number() == attempt && draft.now() >= silentAt) {
                     loseSilent(job, running);
                 }
@@ -93,10 +93,10 @@
             case Phase.Queued queued -> {}
             case Phase.Claiming claiming -> {}
             case Phase.Committing committing -> {}
-            case Phase.Parked parked -> {
-                boolean late = parked.attempt().number() == attempt && draft.now() >= parked.until();
+            case Phase.Paused paused -> {
+                boolean late = paused.attempt().number() == attempt && draft.now() >= paused.requeueAt();
                 if (late && draft.rules().mayRunAgain(job)) {
-                    new PausedJobs(draft).evict(job, parked, "paused for too long");
+                    new PausedJobs(draft).evict(job, paused, "paused for too long");
                 }
             }
             case Phase.HandingOver handingOver -> {}
@@ -107,18 +107,18 @@
     void abandon(Job job, Attempt attempt, String why) {
         draft.note(PART, job, "gave up attempt=" + attempt.number() + " why=" + why);
         releasePlaces(job, attempt);
-        if (job.cancelAsked()) {
-            draft.finish(job, new Outcome.Cancelled(job.everStarted()));
+        if (job.cancelRequested()) {
+            draft.finish(job, new Outcome.Cancelled(job.mayHaveRun()));
         } else {
-            Job refused = job.withRefusal();
-            draft.defer(refused, draft.now() + draft.policy().retryAfter(refused.refusals()));
+            Job refused = job.withAbortedStart();
+            draft.defer(refused, draft.now() + draft.policy().retryDelayMillis(refused.abortedStarts()));
         }
     }
 
     /** Gives the places of an attempt back that was not started. */
     void releasePlaces(Job job, Attempt attempt) {
         for (Member member : attempt.members()) {
-            draft.command(new Command.Release(job.id(), attempt.number(), member));
+            draft.addCommand(new Command.Release(job.id(), attempt.number(), member));
             draft.vacate(job, member, false);
         }
     }
@@ -129,7 +129,8 @@
             abandon(job, reserving.attempt(), why);
         }
         if (job.phase() instanceof Phase.Committing committing) {
-            draft.command(new Command.RecordVoid(job.id(), committing.attempt().number(), false));
+            draft.addCommand(
+                    new Command.RecordVoid(job.id(), committing.attempt().number(), false));
             abandon(job, committing.attempt(), why);
         }
     }
@@ -140,14 +141,14 @@
             return;
         }
         draft.put(job.with(new Phase.Committing(attempt)));
-        draft.command(new Command.RecordIntent(job.request(), attempt));
+        draft.addCommand(new Command.RecordIntent(job.request(), attempt));
     }
 
     private void start(Job job, Attempt attempt, boolean intended) {
         String barred = barred(attempt);
         if (barred != null) {
             if (intended) {
-                draft.command(new Command.RecordVoid(job.id(), attempt.number(), false));
+                draft.addCommand(new Command.RecordVoid(job.id(), attempt.number(), false));
             }
             abandon(job, attempt, barred);
             return;
@@ -157,14 +158,14 @@
         PMap<Integer, MemberState> members = HashTreePMap.empty();
         for (Member member : timed.members()) {
             members = members.plus(member.index(), MemberState.of(MemberState.Status.STARTING));
-            draft.command(new Command.Start(job.request(), timed, member, job.checkpointed()));
+            draft.addCommand(new Command.Start(job.request(), timed, member, job.checkpointed()));
         }
         long runDeadline = draft.now() + job.profile().runLimitMillis();
         draft.put(job.with(new Phase.Running(timed, members, draft.now(), runDeadline, java.util.Optional.empty())));
         draft.setGate(draft.gate().withStart(draft.now()));
-        draft.setBudget(
+        draft.setRetryBudget(
                 job.profile().name(),
-                draft.budget(job.profile().name()).earn(draft.policy().retryPercent()));
+                draft.retryBudget(job.profile().name()).earn(draft.policy().retryPercent()));
         follow(job, timed);
     }
 
@@ -189,11 +190,11 @@
         }
         long runDeadline = draft.now() + job.profile().runLimitMillis();
         draft.put(job.with(new Phase.Running(attempt, members, draft.now(), runDeadline, Optional.empty())));
-        draft.timer(runDeadline, Timer.Kind.RUN, job.id(), attempt.number());
+        draft.addTimer(runDeadline, Timer.Kind.RUN_DEADLINE, job.id(), attempt.number());
         long silentAt = draft.now()
                 + draft.policy().startWindowMillis()
-                + draft.policy().stopMillis();
-        draft.timer(silentAt, Timer.Kind.STEP, job.id(), attempt.number());
+                + draft.policy().stopTimeoutMillis();
+        draft.addTimer(silentAt, Timer.Kind.STEP_TIMEOUT, job.id(), attempt.number());
     }
 
     /** Follows an attempt whose starts an earlier leader may have sent; its targets say what became of it. */
@@ -209,7 +210,7 @@
     }
 
     private static boolean crowded(TargetState target) {
-        return Shares.committed(target.owned(), target.load().irrevocable()) > target.capacity();
+        return Shares.committed(target.owned(), target.load().irrevocableByAccount()) > target.capacity();
     }
 
     private void loseSilent(Job job, Phase.Running running) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/TargetState.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/TargetState.java
@@ -21,7 +21,7 @@
         Target target, Health health, boolean leaving, boolean reachable, Load load, Map<String, Integer> owned) {
     /** Returns the state of an empty, reachable target. */
     static TargetState empty(Target target) {
-        return new TargetState(target, Health.GOOD, false, true, Load.NONE, Map.of());
+        return new TargetState(target, Health.HEALTHY, false, true, Load.NONE, Map.of());
     }
 
     /** Returns the target's identifier. */
@@ -41,19 +41,19 @@
 
     /** Returns the accelerators that irrevocable work may still take without touching what is owned or promised. */
     public int unowned() {
-        return capacity() - Shares.committed(owned, load.irrevocableWithClaims());
+        return capacity() - Shares.committed(owned, load.irrevocableWithClaimsByAccount());
     }
 
     /** Returns the accelerators that irrevocable work of {@code account} may still take here. */
-    public int unownedFor(String account) {
-        int spareOwn =
-                owned.getOrDefault(account, 0) - load.irrevocableWithClaims().getOrDefault(account, 0);
+    public int irrevocableCapacityFor(String account) {
+        int spareOwn = owned.getOrDefault(account, 0)
+                - load.irrevocableWithClaimsByAccount().getOrDefault(account, 0);
         return unowned() + Math.max(0, spareOwn);
     }
 
     /** Returns the accelerators that {@code account} owns here and neither occupies nor was promised. */
-    public int entitled(String account) {
-        int taken = load.of(account).total() + load.claimedBy(account);
+    public int unusedOwnedBy(String account) {
+        int taken = load.usageOf(account).total() + load.claimedBy(account);
         return Math.max(0, owned.getOrDefault(account, 0) - taken);
     }
 
@@ -67,27 +67,27 @@
     }
 
     /** Returns the accelerators that {@code account} occupies here beyond what it owns. */
-    public int borrowed(String account) {
-        return Math.max(0, load.of(account).total() - owned.getOrDefault(account, 0));
+    public int borrowedBy(String account) {
+        return Math.max(0, load.usageOf(account).total() - owned.getOrDefault(account, 0));
     }
 
     /**
      * Returns whether one more task may be placed here, apart from accelerators. Slots do not count: a target has at
      * least as many as accelerators, and every task takes an accelerator.
      */
-    public boolean accepting() {
-        return inUse()
-                && !health.probation()
-                && (!health.probed() || load.jobs().isEmpty());
+    public boolean acceptsWork() {
+        return isUsable()
+                && !health.onProbation()
+                && (!health.awaitsProbeResult() || load.jobs().isEmpty());
     }
 
     /** Returns whether the target is in use and neither on probation nor being probed. */
-    public boolean trusted() {
-        return inUse() && health.probes() == 0;
+    public boolean isTrusted() {
+        return isUsable() && health.failedProbes() == 0;
     }
 
     /** Returns whether the target is reachable and stays in service. */
-    public boolean inUse() {
+    public boolean isUsable() {
         return reachable && !leaving;
     }
 
--- a/acacia-core/src/main/java/org/acaciaport/decision/Timer.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Timer.java
@@ -7,13 +7,13 @@
  *
  * <p>Immutable.
  *
- * @param at when it is due, in milliseconds
+ * @param dueAt when it is due, in milliseconds
  * @param kind what is due
  * @param subject identifier of the request, or of the target for a probe
  * @param attempt number of the attempt it belongs to; 0 if none
  */
-record Timer(long at, Kind kind, String subject, long attempt) implements Comparable<Timer> {
-    private static final Comparator<Timer> ORDER = Comparator.comparingLong(Timer::at)
+record Timer(long dueAt, Kind kind, String subject, long attempt) implements Comparable<Timer> {
+    private static final Comparator<Timer> ORDER = Comparator.comparingLong(Timer::dueAt)
             .thenComparing(Timer::kind)
             .thenComparing(Timer::subject)
             .thenComparingLong(Timer::attempt);
@@ -21,21 +21,21 @@
     /** What is due. */
     enum Kind {
         /** The request's queue deadline. */
-        QUEUE,
+        QUEUE_DEADLINE,
         /** The request may be placed again. */
         RETRY,
         /** The request has waited long enough to be treated as a large job. */
-        PATIENCE,
+        STARVATION,
         /** The current step of the attempt should be over. */
-        STEP,
+        STEP_TIMEOUT,
         /** The attempt's run deadline. */
-        RUN,
+        RUN_DEADLINE,
         /** The current revocation treatment should be over. */
-        REVOCATION,
+        TREATMENT_TIMEOUT,
         /** The target may be probed. */
         PROBE,
         /** Starts were held back after the data centre returned. */
-        RAMP
+        RAMP_UP
     }
 
     @Override
--- a/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
@@ -20,7 +20,7 @@
 
     /** Returns the accelerators on {@code target} of the claimant's own revocable work of a lower priority. */
     static int ownPreemptibleUnits(Draft draft, TargetState target, Job claimant) {
-        if (target.load().of(claimant.account()).revocable() == 0) {
+        if (target.load().usageOf(claimant.account()).revocable() == 0) {
             return 0;
         }
         int units = 0;
@@ -65,8 +65,8 @@
     /** Returns whether enough of {@code target} is free or can be taken off for the claimant's {@code units}. */
     static boolean clearable(Draft draft, TargetState target, Job claimant, int units) {
         int kept = 0;
-        for (Map.Entry<String, Use> entry : target.load().use().entrySet()) {
-            Use use = entry.getValue();
+        for (Map.Entry<String, AccountUsage> entry : target.load().usage().entrySet()) {
+            AccountUsage use = entry.getValue();
             boolean own = entry.getKey().equals(claimant.account());
             int owned = own ? 0 : target.owned().getOrDefault(entry.getKey(), 0);
             int staying = use.irrevocable() + spared(draft, target, claimant, entry.getKey());
@@ -106,7 +106,7 @@
         if (job.account().equals(claimant.account())) {
             return drain || lower(job, claimant);
         }
-        return target.borrowed(job.account()) > 0;
+        return target.borrowedBy(job.account()) > 0;
     }
 
     private static boolean removable(Phase phase) {
@@ -116,7 +116,7 @@
             case Phase.Committing committing -> true;
             case Phase.Queued queued -> false;
             case Phase.Claiming claiming -> false;
-            case Phase.Parked parked -> false;
+            case Phase.Paused paused -> false;
             case Phase.HandingOver handingOver -> false;
         };
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Workload.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Workload.java
@@ -15,27 +15,27 @@
  * @param jobs unfinished requests by identifier
  * @param queues those that wait for a place and may be placed now
  * @param timers what is due later
- * @param units accelerators in use by account
- * @param budgets retry budgets by profile
+ * @param unitsByAccount accelerators in use by account
+ * @param retryBudgets retry budgets by profile
  * @param runTimes observed run times by profile
  * @param nextSequence arrival number of the next request
- * @param nextAttempt number of the next attempt
- * @param parked identifiers of paused requests
- * @param drain identifier of the large job for which places are set aside
+ * @param lastAttempt number of the latest attempt
+ * @param paused identifiers of paused requests
+ * @param largeJob identifier of the large job for which places are set aside
  */
 public record Workload(
         PMap<String, Job> jobs,
         Queues queues,
         TreePSet<Timer> timers,
-        PMap<String, Integer> units,
-        PMap<String, RetryBudget> budgets,
+        PMap<String, Integer> unitsByAccount,
+        PMap<String, RetryBudget> retryBudgets,
         PMap<String, RunTimes> runTimes,
         long nextSequence,
-        long nextAttempt,
-        PSet<String> parked,
-        Optional<String> drain) {
-    /** Returns the work of a new scheduler whose attempts are numbered from {@code firstAttempt}. */
-    static Workload startingAt(long firstAttempt) {
+        long lastAttempt,
+        PSet<String> paused,
+        Optional<String> largeJob) {
+    /** Returns the work of a new scheduler whose attempts are numbered from {@code lastAttempt} + 1. */
+    static Workload startingAfter(long lastAttempt) {
         return new Workload(
                 HashTreePMap.empty(),
                 Queues.EMPTY,
@@ -44,7 +44,7 @@
                 HashTreePMap.empty(),
                 HashTreePMap.empty(),
                 0,
-                firstAttempt,
+                lastAttempt,
                 HashTreePSet.empty(),
                 Optional.empty());
     }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/CellDriver.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/CellDriver.java
@@ -209,7 +209,7 @@
     /** Passes time until {@code until}, with everything that happens meanwhile. */
     void advance(long until) {
         while (goesOn()) {
-            long timer = Math.max(state.nextTimer().orElse(Long.MAX_VALUE), pausedUntil);
+            long timer = Math.max(state.nextTimerAt().orElse(Long.MAX_VALUE), pausedUntil);
             long next = agenda.isEmpty() ? Long.MAX_VALUE : agenda.peek().at();
             if (Math.min(timer, next) > until) {
                 break;
@@ -300,7 +300,10 @@
             }
             case CANCEL -> cancelAny();
             case CANCEL_WAVE ->
-                state.work().jobs().keySet().stream().sorted().toList().forEach(id -> event(new Event.CancelAsked(id)));
+                state.workload().jobs().keySet().stream()
+                        .sorted()
+                        .toList()
+                        .forEach(id -> event(new Event.CancelAsked(id)));
             case TARGET_FAILS_ALL -> anyTarget().setFailsAll(true);
             case TARGET_HEALS ->
                 targets.values().forEach(t -> {
@@ -354,7 +357,8 @@
     }
 
     private void cancelAny() {
-        List<String> unfinished = state.work().jobs().keySet().stream().sorted().toList();
+        List<String> unfinished =
+                state.workload().jobs().keySet().stream().sorted().toList();
         if (!unfinished.isEmpty()) {
             event(new Event.CancelAsked(unfinished.get(random.nextInt(unfinished.size()))));
         }
@@ -415,7 +419,7 @@
             target.rules(epoch);
             for (String key : target.running()) {
                 String[] parts = key.split("#");
-                Job job = state.work().jobs().get(parts[0]);
+                Job job = state.workload().jobs().get(parts[0]);
                 boolean follows = job != null
                         && job.phase() instanceof Phase.Running running
                         && running.attempt().number() == Long.parseLong(parts[1]);
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/DecisionBenchmark.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/DecisionBenchmark.java
@@ -113,7 +113,7 @@
     private String start(Profile profile) {
         submit(profile);
         String id = "r" + requests;
-        Job job = state.work().jobs().get(id);
+        Job job = state.workload().jobs().get(id);
         if (job.phase() instanceof Phase.Running running) {
             step(new Event.MemberChanged(
                     id, running.attempt().number(), 0, MemberState.of(MemberState.Status.RUNNING)));
@@ -126,7 +126,7 @@
     public Object placeAndEndSingle() {
         submit(single);
         String id = "r" + requests;
-        Phase.Running running = (Phase.Running) state.work().jobs().get(id).phase();
+        Phase.Running running = (Phase.Running) state.workload().jobs().get(id).phase();
         return step(new Event.MemberChanged(
                 id, running.attempt().number(), 0, new MemberState(MemberState.Status.ENDED, "")));
     }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/GuaranteeTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/GuaranteeTest.java
@@ -42,7 +42,7 @@
         String request = driver.submit(configuration.accounts().get(1).name(), gang, LONG_RUN_MILLIS);
         Phase first = driver.state().job(request).orElseThrow().phase();
         assertThat(first).isInstanceOf(Phase.Claiming.class);
-        driver.advance(driver.now() + Policy.STANDARD.reclaimMillis() + MESSAGES_MILLIS);
+        driver.advance(driver.now() + Policy.STANDARD.maxReclaimMillis() + MESSAGES_MILLIS);
         assertWithMessage("violations").that(driver.violations()).isEmpty();
         assertThat(driver.state().job(request).orElseThrow().phase()).isInstanceOf(Phase.Running.class);
     }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
@@ -82,7 +82,7 @@
     void startingWithoutAPermitIsNoticed() throws Exception {
         noticed(Invariant.PERMIT, new Rules() {
             @Override
-            boolean mayStart(CellState state, Gate gate, long now) {
+            boolean mayStart(CellState state, StartGate gate, long now) {
                 return true;
             }
         });
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
@@ -147,7 +147,7 @@
     private void processEvents() {
         while (open || !queue.isEmpty()) {
             try {
-                long timerMillis = state.nextTimer().orElse(Long.MAX_VALUE);
+                long timerMillis = state.nextTimerAt().orElse(Long.MAX_VALUE);
                 long waitMillis = Math.max(0, Math.min(MAX_IDLE_MILLIS, timerMillis - clock.millis()));
                 Runnable action = queue.poll(waitMillis, TimeUnit.MILLISECONDS);
                 if (action != null) {
@@ -243,7 +243,7 @@
         return state.job(request)
                 .filter(job -> job.phase() instanceof Phase.Running running
                         && running.attempt().number() == attempt
-                        && running.members().get(member.index()).occupies())
+                        && running.members().get(member.index()).occupiesAccelerators())
                 .isPresent();
     }
 
@@ -295,7 +295,7 @@
      */
     private void reconcile(Target target, TargetClient.Task task) {
         Job job = state.job(task.request()).orElse(null);
-        Optional<Attempt> current = job == null ? Optional.empty() : job.phase().current();
+        Optional<Attempt> current = job == null ? Optional.empty() : job.phase().currentAttempt();
         boolean known = current.isPresent() && current.get().number() == task.attempt();
         if (!known && canAdopt(job, task)) {
             Member member = new Member(0, target.id(), task.units());
@@ -308,7 +308,7 @@
         } else if (task.state().equals("running") || task.state().equals("throttled")) {
             LOG.infof("orphan: stopping request=%s attempt=%d target=%s", task.request(), task.attempt(), target.id());
             Member member = new Member(task.member(), target.id(), task.units());
-            long deadline = clock.millis() + decider.policy().stopMillis();
+            long deadline = clock.millis() + decider.policy().stopTimeoutMillis();
             send(
                     member,
                     new Command.Treat(task.request(), task.attempt(), member, Treatment.STOP, deadline),
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
@@ -257,7 +257,7 @@
                 current != null && !draining,
                 leader == null ? 0 : leader.epoch(),
                 replica.isAvailable(),
-                current == null ? 0 : current.state().work().queues().size(),
+                current == null ? 0 : current.state().workload().queues().size(),
                 active.revision(),
                 active.revision() > look.revision() ? active : null);
     }
@@ -278,7 +278,7 @@
     private static Message.TargetLine toTargetLine(TargetState target) {
         String state = !target.reachable()
                 ? "unreachable"
-                : target.leaving() ? "leaving" : target.health().probation() ? "probation" : "live";
+                : target.leaving() ? "leaving" : target.health().onProbation() ? "probation" : "live";
         return new Message.TargetLine(
                 target.id(),
                 target.target().rack(),
@@ -322,7 +322,7 @@
             case Phase.Reserving reserving -> "reserving";
             case Phase.Committing committing -> "committing";
             case Phase.Running running -> "running";
-            case Phase.Parked parked -> "paused";
+            case Phase.Paused paused -> "paused";
             case Phase.HandingOver handingOver -> "handing-over";
         };
     }
