--- a/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
@@ -68,7 +68,7 @@
     void abandon(Job job, Phase.Claiming claiming, String why) {
         draft.note(PART, job, "abandoned attempt=" + claiming.attempt().number() + " why=" + why);
         release(job, claiming);
-        draft.defer(job, draft.now() + draft.policy().initialRetryDelayMillis());
+        draft.defer(job, draft.now() + draft.policy().baseRetryDelayMillis());
     }
 
     /** Gives the promised places up. */
--- a/acacia-core/src/main/java/org/acaciaport/decision/Policy.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Policy.java
@@ -14,7 +14,7 @@
  * @param starvationMillis how long a request waits before places are set aside for it
  * @param agingMillis waiting time that is worth one step of priority
  * @param maxFailedAttempts failed attempts after which an idempotent request is answered as failed
- * @param initialRetryDelayMillis first pause before a failed request is tried again; doubles each time
+ * @param baseRetryDelayMillis pause before a request is tried again, before the doubling for each earlier try
  * @param retryPercent share of started attempts that may be retries, in percent
  * @param failuresForProbation different failed requests of several accounts that put a target on probation
  * @param initialProbeDelayMillis first pause before a target on probation is probed; doubles each time
@@ -31,7 +31,7 @@
         long starvationMillis,
         long agingMillis,
         int maxFailedAttempts,
-        long initialRetryDelayMillis,
+        long baseRetryDelayMillis,
         int retryPercent,
         int failuresForProbation,
         long initialProbeDelayMillis,
@@ -45,7 +45,7 @@
 
     /** Returns the pause before a request is tried again after {@code times} tries in a row without success. */
     public long retryDelayMillis(int times) {
-        return initialRetryDelayMillis << Math.min(times, MAX_DOUBLINGS);
+        return baseRetryDelayMillis << Math.min(times, MAX_DOUBLINGS);
     }
 
     /** Returns the longest time from a claim to its accelerators being free, in milliseconds. */
