--- a/acacia-core/src/main/java/org/acaciaport/decision/Decider.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Decider.java
@@ -1,9 +1,10 @@
 package org.acaciaport.decision;
 
 /**
- * Makes the decisions of one data centre: from a state, an event and the time to the next state and what to carry out.
+ * The decision function of one data centre: maps a state, an event and the time to the next state and the commands to
+ * carry out.
  *
- * <p>Stateless and safe for use by several threads. The result depends on the arguments alone.
+ * <p>Stateless and thread-safe. The result depends on the arguments alone.
  */
 public final class Decider {
     private final Policy policy;
@@ -14,22 +15,22 @@
         this.rules = rules;
     }
 
-    /** Returns a decider that keeps to {@code policy}. */
+    /** Returns a decider that applies {@code policy} with the standard safety rules. */
     public static Decider of(Policy policy) {
         return new Decider(policy, new Rules());
     }
 
-    /** Returns the limits that the decisions keep to. */
+    /** Returns the limits that the decisions respect. */
     public Policy policy() {
         return policy;
     }
 
     /**
-     * Decides what follows from {@code event}.
+     * Decides on {@code event}: first handles the timers that are due, then the event, then places waiting requests.
      *
-     * @param state the state that the previous decision returned
+     * @param state the state that the previous decision returned, or {@link CellState#initial} for the first
      * @param event what happened
-     * @param now the time in milliseconds; never earlier than in a previous decision
+     * @param now the current time in milliseconds; must not be earlier than in a previous decision
      */
     public Decision decide(CellState state, Event event, long now) {
         Draft draft = new Draft(state, policy, rules, now);
@@ -47,7 +48,7 @@
             case Event.CancelAsked cancel -> new Deadlines(draft).cancel(cancel.request());
             case Event.HandOverAnswered answer -> new Membership(draft).handleHandOverAnswer(answer);
             case Event.Configured configured -> new Membership(draft).applyConfiguration(configured.active());
-            case Event.PermitRenewed permit -> renew(draft, permit.until());
+            case Event.PermitRenewed permit -> renewPermit(draft, permit.until());
             case Event.LogChanged log -> {
                 draft.setGate(draft.gate().withLogAvailable(log.available()));
                 draft.requestDispatch();
@@ -63,10 +64,11 @@
         }
     }
 
-    private static void renew(Draft draft, long until) {
-        boolean lapsed = draft.gate().permitUntil() <= draft.now();
+    /** Extends the permit. If it had expired, also resumes what waited for it: placement and claims. */
+    private static void renewPermit(Draft draft, long until) {
+        boolean expired = draft.gate().permitUntil() <= draft.now();
         draft.setGate(draft.gate().withPermit(until));
-        if (!lapsed) {
+        if (!expired) {
             return;
         }
         draft.requestDispatch();
--- a/acacia-core/src/main/java/org/acaciaport/decision/Decision.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Decision.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * What follows from one event.
+ * The result of deciding on one event.
  *
  * <p>Immutable.
  *
  * @param state the next state
  * @param commands what to carry out, in order
- * @param notes the decisions in words
+ * @param notes explanations of what was decided, in order
  * @param changedTargets identifiers of the targets whose state changed
  */
 public record Decision(CellState state, List<Command> commands, List<Note> notes, Set<String> changedTargets) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
@@ -13,10 +13,10 @@
 import org.pcollections.TreePSet;
 
 /**
- * The next state while one decision is being made.
+ * A mutable draft of the next state, with the commands and notes of the decision under way.
  *
- * <p>Confined to one call of {@link Decider}; not thread-safe. Bookkeeping only: every method keeps the sums, indexes
- * and queues in step with one another and decides nothing.
+ * <p>Confined to one call of {@link Decider#decide}; not thread-safe. The methods only do bookkeeping: they keep the
+ * totals, indexes and queues consistent and make no decision.
  */
 final class Draft {
     private final Policy policy;
@@ -64,7 +64,7 @@
         largeJob = work.largeJob();
     }
 
-    /** Returns the state as it stands. */
+    /** Returns a snapshot of the draft. */
     CellState state() {
         Workload work = new Workload(
                 jobs,
@@ -80,11 +80,12 @@
         return new CellState(dataCentre, active, fleet, work, gate);
     }
 
+    /** Returns the decision made so far. */
     Decision decision() {
         return new Decision(state(), commands, notes, changedTargets);
     }
 
-    /** Returns whether {@code attempt} was made by an earlier leader. */
+    /** Returns whether {@code attempt} was made in an earlier epoch. */
     boolean isFromEarlierLeader(Attempt attempt) {
         return CellState.epochOf(attempt.number()) < CellState.epochOf(lastAttempt);
     }
@@ -118,7 +119,7 @@
         fleet = next;
     }
 
-    /** Keeps the newest list of leaving VMs for targets that are configured later. */
+    /** Stores the newest list of leaving VMs, so that targets configured later can be checked against it. */
     void setListedAsLeaving(Set<String> listed) {
         fleet = fleet.withListedAsLeaving(listed);
     }
@@ -139,11 +140,12 @@
         return jobs;
     }
 
-    /** Returns the unfinished request called {@code id}, or null. */
+    /** Returns the unfinished request with identifier {@code id}, or null if there is none. */
     Job job(String id) {
         return jobs.get(id);
     }
 
+    /** Returns the units that {@code account} occupies on all targets. */
     int unitsUsedBy(String account) {
         return unitsByAccount.getOrDefault(account, 0);
     }
@@ -152,13 +154,13 @@
         return paused;
     }
 
-    /** Counts {@code job} as paused on {@code target}. */
+    /** Registers {@code job} as paused on {@code target}. */
     void addPaused(Job job, String target) {
         paused = paused.plus(job.id());
         changeTarget(target, t -> t.with(t.load().withPaused(job.id())));
     }
 
-    /** Counts {@code job} as no longer paused on {@code target}. */
+    /** Removes {@code job} from the requests paused on {@code target}. */
     void removePaused(Job job, String target) {
         paused = paused.minus(job.id());
         changeTarget(target, t -> t.with(t.load().withoutPaused(job.id())));
@@ -172,26 +174,26 @@
         largeJob = next;
     }
 
-    /** Asks for another look at the queues before the decision ends. */
+    /** Requests another dispatch of waiting requests before the decision ends. */
     void requestDispatch() {
         dispatchRequested = true;
     }
 
-    /** Returns whether another look at the queues was asked for, and forgets it. */
+    /** Returns whether a dispatch was requested, and clears the request. */
     boolean takeDispatchRequest() {
-        boolean wanted = dispatchRequested;
+        boolean requested = dispatchRequested;
         dispatchRequested = false;
-        return wanted;
+        return requested;
     }
 
-    /** Returns the targets on which accelerators became free since the last call, and forgets them. */
+    /** Returns the targets on which units became free, or claims must be rechecked, since the last call. */
     Set<String> takeFreedTargets() {
         Set<String> taken = new TreeSet<>(freedTargets);
         freedTargets.clear();
         return taken;
     }
 
-    /** Has all claims looked at again, since their places may have other owners now. */
+    /** Marks all targets with claims to be rechecked; for use after units may have been assigned to other owners. */
     void recheckClaims() {
         for (TargetState target : fleet.targets().values()) {
             if (target.load().claimed() > 0) {
@@ -204,14 +206,17 @@
         commands.add(command);
     }
 
+    /** Adds a note about {@code job}; {@code part} names the component that decided. */
     void note(String part, Job job, String text) {
         notes.add(new Note(part, job.id(), "account=" + job.account() + " " + text));
     }
 
+    /** Adds a note that is not about a single request. */
     void note(String part, String text) {
         notes.add(new Note(part, "", text));
     }
 
+    /** Applies {@code change} to the target with identifier {@code id}, which must be in the fleet. */
     void changeTarget(String id, UnaryOperator<TargetState> change) {
         fleet = fleet.withChanged(id, change);
         changedTargets.add(id);
@@ -221,7 +226,7 @@
         timers = timers.plus(new Timer(at, kind, subject, attempt));
     }
 
-    /** Returns the next timer that is due and removes it, or returns null. */
+    /** Removes and returns the next timer that is due, or returns null if none is. */
     Timer takeDueTimer() {
         if (timers.isEmpty() || timers.first().dueAt() > now) {
             return null;
@@ -231,19 +236,22 @@
         return due;
     }
 
+    /** Returns the sequence number for a request that arrives now. */
     long nextSequenceNumber() {
         return nextSequence++;
     }
 
+    /** Returns the number for a new attempt. */
     long nextAttemptNumber() {
         return ++lastAttempt;
     }
 
+    /** Adds {@code job}, or replaces its previous version. Leaves the queues and loads unchanged. */
     void put(Job job) {
         jobs = jobs.plus(job.id(), job);
     }
 
-    /** Puts {@code job} at its place in the queue, from where it can be placed at once. */
+    /** Queues {@code job} at its place by arrival and requests a dispatch, so that it may be placed at once. */
     void enqueue(Job job) {
         Job queued = job.with(new Phase.Queued(now));
         put(queued);
@@ -251,7 +259,7 @@
         dispatchRequested = true;
     }
 
-    /** Keeps {@code job} waiting without being placed until {@code at}. */
+    /** Lets {@code job} wait outside the queues until {@code at}, when a timer enqueues it. */
     void defer(Job job, long at) {
         put(job.with(new Phase.Queued(at)));
         addTimer(at, Timer.Kind.RETRY, job.id(), 0);
@@ -261,14 +269,14 @@
         queues = queues.minus(job);
     }
 
-    /** Ends {@code job} with its only answer. Its accelerators must have been given up before. */
+    /** Ends {@code job} with its final answer. Its units must have been vacated and its claims removed before. */
     void finish(Job job, Outcome outcome) {
         remove(job);
         addCommand(new Command.Answer(job.request(), outcome));
-        note("answer", job, "outcome=" + outcome.word() + " " + detail(outcome));
+        note("answer", job, "outcome=" + outcome.word() + " " + describe(outcome));
     }
 
-    /** Forgets {@code job}. Its accelerators must have been given up before. */
+    /** Removes {@code job} without an answer. Its units must have been vacated and its claims removed before. */
     void remove(Job job) {
         queues = queues.minus(job);
         jobs = jobs.minus(job.id());
@@ -278,23 +286,23 @@
         }
     }
 
-    /** Promises the places of {@code claiming} to {@code job}. */
+    /** Claims the places of {@code claiming} for {@code job}. */
     void addClaim(Job job, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
             changeTarget(
                     member.target(),
-                    t -> t.with(withPromisedUnits(t.load(), job, claiming, member.units())
+                    t -> t.with(withClaimedUnits(t.load(), job, claiming, member.units())
                             .withJob(job.id())));
         }
     }
 
-    /** Takes back what {@link #addClaim} promised. */
+    /** Reverses {@link #addClaim}. */
     void removeClaim(Job job, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
             if (fleet.target(member.target()) != null) {
                 changeTarget(
                         member.target(),
-                        t -> t.with(withPromisedUnits(t.load(), job, claiming, -member.units())
+                        t -> t.with(withClaimedUnits(t.load(), job, claiming, -member.units())
                                 .withoutJob(job.id())));
                 freedTargets.add(member.target());
             }
@@ -302,14 +310,14 @@
         dispatchRequested = true;
     }
 
-    private static Load withPromisedUnits(Load load, Job job, Phase.Claiming claiming, int units) {
-        Load counted = claiming.hasDeadline()
+    private static Load withClaimedUnits(Load load, Job job, Phase.Claiming claiming, int units) {
+        Load claimed = claiming.hasDeadline()
                 ? load.withClaim(job.account(), units, job.profile().revocable())
                 : load.withUnboundedClaim(units);
-        return claiming.forLargeJob() ? counted.withSetAside(units) : counted;
+        return claiming.forLargeJob() ? claimed.withSetAside(units) : claimed;
     }
 
-    /** Counts the accelerators of an attempt as occupied. */
+    /** Marks the places of {@code attempt} as occupied by {@code job}. */
     void occupy(Job job, Attempt attempt) {
         for (Member member : attempt.members()) {
             changeUsage(job, member, member.units());
@@ -317,7 +325,11 @@
         }
     }
 
-    /** Counts the accelerators of one member as free again. */
+    /**
+     * Marks the place of one member as free again.
+     *
+     * @param revoking whether the member was being taken off, so that its units no longer count as such
+     */
     void vacate(Job job, Member member, boolean revoking) {
         if (fleet.target(member.target()) == null) {
             return;
@@ -353,7 +365,7 @@
         runTimes = runTimes.plus(profile, runTimes(profile).plus(millis));
     }
 
-    private static String detail(Outcome outcome) {
+    private static String describe(Outcome outcome) {
         return switch (outcome) {
             case Outcome.Done done -> "members=" + done.answers().size();
             case Outcome.Failed failed -> "reason=" + failed.reason();
--- a/acacia-core/src/main/java/org/acaciaport/decision/Event.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Event.java
@@ -5,64 +5,64 @@
 import org.acaciaport.config.ActiveConfiguration;
 import org.acaciaport.request.Request;
 
-/** Something that happened outside the decisions. All variants are immutable. */
+/** An input to a decision: something that happened outside the decider. All variants are immutable. */
 public sealed interface Event {
-    /** Time has passed. */
+    /** Time has passed; sent when a timer is due and nothing else has happened. */
     record Tick() implements Event {}
 
     /**
      * A request was accepted for this data centre, or handed over to it.
      *
      * @param request the request
-     * @param mayHaveRun whether another scheduler may have started it
+     * @param mayHaveRun whether another scheduler may have started it before
      */
     record Submitted(Request request, boolean mayHaveRun) implements Event {}
 
     /**
-     * A request that an earlier leader accepted, found on the log.
+     * An unfinished request that an earlier leader accepted was read from the log.
      *
      * @param request the request
-     * @param intent its last recorded attempt that was not voided; its members may be running
-     * @param checkpointed whether a saved state exists from which it resumes
+     * @param intent its latest recorded attempt that was not voided; its members may be running
+     * @param checkpointed whether a checkpoint exists from which it resumes
      */
     record Recovered(Request request, Optional<Attempt> intent, boolean checkpointed) implements Event {}
 
-    /** A caller wants {@code request} no more. */
+    /** The caller asked to cancel {@code request}. */
     record CancelAsked(String request) implements Event {}
 
-    /** The log answered for a hand-over. When it is not recorded, it certainly never will be. */
+    /** The log answered a hand-over. If {@code recorded} is false, the hand-over will never be recorded later. */
     record HandOverAnswered(String request, boolean recorded) implements Event {}
 
-    /** Another revision is in force. */
+    /** A revision of the configuration was read from the log; older revisions are ignored. */
     record Configured(ActiveConfiguration active) implements Event {}
 
     /**
-     * Fresh evidence that the data centre is in service.
+     * The permit to start work was renewed: there is fresh evidence that the data centre is in service.
      *
      * @param until latest time at which a target may start work on this evidence, in milliseconds
      */
     record PermitRenewed(long until) implements Event {}
 
-    /** The log can, or cannot, be appended to. */
+    /** The log became available for appending, or unavailable. */
     record LogChanged(boolean available) implements Event {}
 
-    /** The platform's list names these targets as leaving. */
+    /** The platform's newest list names exactly {@code targets} as going out of service. */
     record LeavingListed(Set<String> targets) implements Event {}
 
-    /** The lease at {@code target} is held again. */
+    /** The lease on {@code target} is held, for the first time or again. */
     record TargetReachable(String target) implements Event {}
 
-    /** The lease at {@code target} has lapsed: whatever ran there has ended. */
+    /** The lease on {@code target} expired, so the target has ended whatever ran on it. */
     record TargetLost(String target) implements Event {}
 
-    /** A target answered a request to hold a place. */
+    /** A target granted or refused a {@link Command.Reserve}. */
     record ReserveAnswered(String request, long attempt, int member, boolean granted) implements Event {}
 
-    /** The log answered for an intent. When it is not recorded, it certainly never will be. */
+    /** The log answered an intent. If {@code recorded} is false, the intent will never be recorded later. */
     record IntentAnswered(String request, long attempt, boolean recorded) implements Event {}
 
     /**
-     * A member's state changed at its target.
+     * A target reported a new state of a member, possibly late or more than once.
      *
      * @param request identifier of the request
      * @param attempt number of the attempt
--- a/acacia-core/src/main/java/org/acaciaport/decision/Note.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Note.java
@@ -1,13 +1,13 @@
 package org.acaciaport.decision;
 
 /**
- * One decision in words, for the log and for {@code explain}.
+ * An explanation of one decision, for the log and for {@code acaciactl explain}.
  *
  * <p>Immutable.
  *
- * @param part prefix that names the part that decided
- * @param request identifier of the request; empty if the decision is about none
- * @param text short fields that say what was decided, why, and what was rejected
+ * @param part name of the component that decided; the prefix of the log line
+ * @param request identifier of the request; empty if the decision is not about a single request
+ * @param text key-value fields that say what was decided, why, and which alternatives were rejected
  */
 public record Note(String part, String request, String text) {
     @Override
--- a/acacia-core/src/main/java/org/acaciaport/decision/Violation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Violation.java
@@ -1,41 +1,41 @@
 package org.acaciaport.decision;
 
 /**
- * A promise that a decision broke.
+ * A violation of an invariant by a decision.
  *
  * <p>Immutable.
  *
- * @param invariant which promise
- * @param detail what was seen
+ * @param invariant the invariant that was violated
+ * @param detail what was observed
  */
 public record Violation(Invariant invariant, String detail) {
-    /** The promises that are checked. */
+    /** The invariants that are checked. */
     public enum Invariant {
-        /** No target holds more than its accelerators. */
+        /** No more accelerators of a target are occupied than it has. */
         CAPACITY,
-        /** What accounts own on a target can always be cleared for them. */
+        /** The units that accounts own on a target can always be reclaimed from the work of other accounts. */
         GUARANTEE,
-        /** A claim within a share has its accelerators by its deadline. */
+        /** A claim of an account on units that it owns gets them by its deadline. */
         RECLAIM_BOUND,
-        /** A large job whose places are set aside has them by its deadline. */
+        /** A large job gets the places that are set aside for it by its deadline, if it has one. */
         LARGE_JOB_BOUND,
-        /** A gang starts with every place held, and ends whole once a member is gone. */
+        /** A gang starts only with all places reserved, and is revoked as a whole once one of its members is gone. */
         GANG_WHOLE,
-        /** Work starts only on fresh evidence that the data centre is in service. */
+        /** Work starts only under a valid permit and in a data centre that is in service. */
         PERMIT,
-        /** Nothing starts on a target that is leaving or lost. */
+        /** Nothing starts on a target that is leaving or whose lease has expired. */
         LEAVING,
-        /** Work that must not run twice is started once, with its intent on the log. */
+        /** Work that is not idempotent never runs twice, and starts only after its intent was recorded on the log. */
         AT_MOST_ONCE,
-        /** Requests of a profile that takes precedence start first. */
+        /** Requests wait while the account has waiting requests of a profile that takes precedence over theirs. */
         PRECEDENCE,
-        /** Each request has one final answer. */
+        /** Each request gets exactly one final answer. */
         ONE_ANSWER,
-        /** What is answered as not run was never started. */
+        /** A request that is answered as not run was never started. */
         NOT_RUN_TRUE,
-        /** The revision in force never decreases. */
+        /** The revision of the configuration in force never decreases. */
         REVISION,
-        /** Sums, queues and indexes agree with the jobs. */
+        /** Totals, queues and loads agree with the phases of the jobs. */
         BOOKKEEPING
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
@@ -4,5 +4,26 @@
  * <p>Start with {@link org.acaciaport.decision.Decider}: it takes a {@link org.acaciaport.decision.CellState}, an
  * {@link org.acaciaport.decision.Event} and the time, and returns the next state and the
  * {@link org.acaciaport.decision.Command}s to carry out. {@link org.acaciaport.decision.Invariants} checks every step.
+ *
+ * <p>Terms used throughout:
+ *
+ * <ul>
+ *   <li>A <i>unit</i> is one accelerator.
+ *   <li>An <i>attempt</i> to run a request has one or more <i>members</i>, each on a target of its own; work with
+ *       several members is a <i>gang</i>. A member's <i>place</i> is its target and its units there.
+ *   <li>An account <i>owns</i> units that its guarantee assigns to it on some targets, and <i>borrows</i> whatever it
+ *       occupies beyond that.
+ *   <li><i>Revocable</i> work can be taken off its targets within a bounded time: by a checkpoint, a throttle or a
+ *       stop. All other work is <i>irrevocable</i> and runs to its end or its run limit.
+ *   <li>A <i>claim</i> reserves places that are still occupied for a job that waits until they are free. A claim on
+ *       units that the account owns revokes the work that borrows them. Places claimed for a <i>large job</i> that has
+ *       waited long are <i>set aside</i>, and other work may be backfilled onto them meanwhile.
+ *   <li>A <i>permit</i> is a lease on the permission to start work: evidence, valid for a short time, that the data
+ *       centre is in service.
+ *   <li>A target is on <i>probation</i> after several requests failed there without a success in between. It takes no
+ *       work until the next probe is due: a single task that shows whether the target works again.
+ * </ul>
+ *
+ * <p>Points in time are milliseconds of the caller's clock, the same that is passed to the decider.
  */
 package org.acaciaport.decision;
