--- a/acacia-core/src/main/java/org/acaciaport/decision/AccountUsage.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/AccountUsage.java
@@ -1,24 +1,25 @@
 package org.acaciaport.decision;
 
 /**
- * The accelerators that one account occupies on one target.
+ * The units that one account occupies on one target.
  *
  * <p>Immutable.
  *
- * @param irrevocable by work that cannot be taken off
- * @param revocable by work that can be taken off
+ * @param irrevocable units occupied by irrevocable work
+ * @param revocable units occupied by revocable work
  */
 public record AccountUsage(int irrevocable, int revocable) {
-    /** Nothing in use. */
+    /** No units. */
     static final AccountUsage NONE = new AccountUsage(0, 0);
 
-    /** Returns all accelerators in use. */
+    /** Returns the units occupied by irrevocable and revocable work together. */
     public int total() {
         return irrevocable + revocable;
     }
 
-    AccountUsage plus(int units, boolean canRevoke) {
-        return canRevoke
+    /** Returns this usage changed by {@code units}, which may be negative. */
+    AccountUsage plus(int units, boolean isRevocable) {
+        return isRevocable
                 ? new AccountUsage(irrevocable, revocable + units)
                 : new AccountUsage(irrevocable + units, revocable);
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Attempt.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Attempt.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * One try at running a request, with a place for every member.
+ * One attempt to run a request, with a place for every member.
  *
- * <p>Immutable. Members stand in index order, each on a target of its own.
+ * <p>Immutable. Members are in index order, and no two of them share a target.
  *
  * @param number unique within the data centre; attempts of a later epoch have higher numbers
  * @param members places of all members
--- a/acacia-core/src/main/java/org/acaciaport/decision/Fleet.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Fleet.java
@@ -12,16 +12,17 @@
 import org.pcollections.PMap;
 
 /**
- * The targets of one data centre with their load, indexed by what they can still give.
+ * The targets of one data centre, indexed by the units that they have available.
  *
- * <p>Immutable. The indexes hold exactly the accepting targets.
+ * <p>Immutable. The indexes contain exactly the targets that accept work and have units available.
  *
- * @param targets state of every target by identifier
- * @param racks identifiers of the targets in each rack
- * @param free accepting targets by free accelerators
- * @param unowned accepting targets by accelerators that are both free and owned by nobody
- * @param shares which slices make up each account's guarantee
- * @param listedAsLeaving identifiers on the platform's newest list of leaving VMs, whether or not they are in the fleet
+ * @param targets state of every target, by identifier
+ * @param racks identifiers of the targets in each rack, sorted
+ * @param free the targets that accept work, by free units
+ * @param unowned the targets that accept work, by units that are free and may be taken by irrevocable work of any
+ *     account
+ * @param shares the slices of targets that are assigned to each account as its guarantee
+ * @param listedAsLeaving identifiers on the platform's newest list of leaving VMs, including those not in the fleet
  */
 public record Fleet(
         PMap<String, TargetState> targets,
@@ -30,26 +31,26 @@
         CapacityIndex unowned,
         Shares shares,
         Set<String> listedAsLeaving) {
-    /** No targets. */
+    /** A fleet without targets. */
     static final Fleet EMPTY =
             new Fleet(HashTreePMap.empty(), Map.of(), CapacityIndex.EMPTY, CapacityIndex.EMPTY, Shares.NONE, Set.of());
 
-    /** Returns the target called {@code id}, or null if it is not in the fleet. */
+    /** Returns the state of the target with identifier {@code id}, or null if it is not in the fleet. */
     public TargetState target(String id) {
         return targets.get(id);
     }
 
-    /** Returns the accelerators in use on all targets. */
+    /** Returns the units occupied on all targets. */
     public int used() {
         return targets.values().stream().mapToInt(t -> t.load().used()).sum();
     }
 
-    /** Returns the most accelerators that are free together on one accepting target. */
+    /** Returns the most units that are free on a single target that accepts work. */
     public int largestFree() {
         return free.largestUnits();
     }
 
-    /** Returns the fleet with the state of one target replaced or added. */
+    /** Returns this fleet with the state of one target replaced or added. */
     Fleet with(TargetState next) {
         TargetState previous = targets.get(next.id());
         CapacityIndex freeNext = replace(free, previous, next, Fleet::freeUnits);
@@ -57,7 +58,7 @@
         return new Fleet(targets.plus(next.id(), next), racks, freeNext, unownedNext, shares, listedAsLeaving);
     }
 
-    /** Returns the fleet without the target called {@code id}. */
+    /** Returns this fleet without the target with identifier {@code id}, which must be in it. */
     Fleet without(String id) {
         TargetState previous = targets.get(id);
         CapacityIndex freeNext = remove(free, previous, freeUnits(previous));
@@ -65,7 +66,7 @@
         return new Fleet(targets.minus(id), racks, freeNext, unownedNext, shares, listedAsLeaving);
     }
 
-    /** Returns the fleet with slices assigned as in {@code next}. */
+    /** Returns this fleet with slices assigned as in {@code next}. */
     Fleet with(Shares next) {
         Fleet fleet = new Fleet(targets, racks, free, unowned, next, listedAsLeaving);
         for (TargetState target : targets.values()) {
@@ -76,7 +77,7 @@
         return fleet;
     }
 
-    /** Returns the fleet with the racks of its present targets. */
+    /** Returns this fleet with {@link #racks} computed anew from its targets. */
     Fleet withRacks() {
         Map<String, List<String>> next = new TreeMap<>();
         for (TargetState target : targets.values()) {
@@ -86,19 +87,19 @@
         return new Fleet(targets, next, free, unowned, shares, listedAsLeaving);
     }
 
-    /** Returns the fleet with another list of leaving VMs noted; marks no target. */
+    /** Returns this fleet with another list of leaving VMs. Does not mark any target as leaving. */
     Fleet withListedAsLeaving(Set<String> next) {
         return new Fleet(targets, racks, free, unowned, shares, ImmutableSet.copyOf(next));
     }
 
-    /** Returns the fleet with {@code change} made to one target. */
+    /** Returns this fleet with {@code change} applied to the target with identifier {@code id}. */
     Fleet withChanged(String id, UnaryOperator<TargetState> change) {
         return with(change.apply(targets.get(id)));
     }
 
-    /** An amount by which targets are indexed. */
-    private interface Amount {
-        int of(TargetState target);
+    /** The number of units by which an index orders its targets. */
+    private interface UnitsFunction {
+        int unitsOf(TargetState target);
     }
 
     private static int freeUnits(TargetState target) {
@@ -109,12 +110,13 @@
         return Math.min(freeUnits(target), Math.max(0, target.unowned()));
     }
 
-    private static CapacityIndex replace(CapacityIndex index, TargetState previous, TargetState next, Amount amount) {
-        int before = previous == null ? 0 : amount.of(previous);
-        int after = amount.of(next);
-        boolean moved = previous != null
+    private static CapacityIndex replace(
+            CapacityIndex index, TargetState previous, TargetState next, UnitsFunction function) {
+        int before = previous == null ? 0 : function.unitsOf(previous);
+        int after = function.unitsOf(next);
+        boolean rackChanged = previous != null
                 && !previous.target().rack().equals(next.target().rack());
-        if (before == after && !moved) {
+        if (before == after && !rackChanged) {
             return index;
         }
         CapacityIndex result = previous == null ? index : remove(index, previous, before);
--- a/acacia-core/src/main/java/org/acaciaport/decision/Job.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Job.java
@@ -11,14 +11,14 @@
  * <p>Immutable.
  *
  * @param request the request
- * @param sequence arrival order within the data centre; kept when the request is queued again
- * @param phase where it stands
- * @param failures attempts that ran and failed
- * @param abortedStarts attempts in a row that were given up before any member ran
- * @param avoidedTargets identifiers of targets that it avoids since they failed or refused it
+ * @param sequence number that gives the order of arrival within the data centre; kept when the request is queued again
+ * @param phase its phase
+ * @param failures number of attempts that ran and failed
+ * @param abortedStarts counts the attempts abandoned before any member ran, since the last one that did run
+ * @param avoidedTargets identifiers of the targets on which it is not placed, because they failed or refused it
  * @param startStatus whether any member may have run
- * @param checkpointed whether a saved state exists from which it resumes
- * @param cancelRequested whether the caller wants it no more
+ * @param checkpointed whether a checkpoint exists from which it resumes
+ * @param cancelRequested whether the caller asked to cancel it
  */
 public record Job(
         Request request,
@@ -30,13 +30,13 @@
         StartStatus startStatus,
         boolean checkpointed,
         boolean cancelRequested) {
-    /** What is known of starts. */
+    /** Whether any member of a request may have run. */
     public enum StartStatus {
-        /** No member was ever told to start, or every one certainly did not. */
+        /** No member was told to start, or it is certain that none of them did. */
         NOT_STARTED,
-        /** Another scheduler may have started it. */
+        /** Another scheduler may have started a member. */
         POSSIBLY_STARTED,
-        /** A member ran, or may have. */
+        /** A member ran, or may have run after this scheduler told it to start. */
         STARTED
     }
 
@@ -45,7 +45,7 @@
         return startStatus != StartStatus.NOT_STARTED;
     }
 
-    /** Returns a job that has just been accepted. */
+    /** Returns the job for a request that has just been accepted. */
     static Job accepted(Request request, long sequence) {
         return new Job(
                 request,
@@ -74,7 +74,7 @@
         return request.profile();
     }
 
-    /** Returns the accelerators that the present attempt occupies on {@code target}, or was promised there. */
+    /** Returns the units that the current attempt occupies or claims on {@code target}. */
     int unitsOn(String target) {
         return phase.currentAttempt().stream()
                 .flatMap(a -> a.members().stream())
@@ -96,6 +96,7 @@
                 cancelRequested);
     }
 
+    /** Returns this job with one more failed attempt, from now on avoiding {@code target} as well. */
     Job withFailure(String target) {
         return new Job(
                 request,
@@ -109,7 +110,10 @@
                 cancelRequested);
     }
 
-    /** Returns this job with {@code target} avoided next time, in place of earlier ones. */
+    /**
+     * Returns this job with one more aborted start, to be placed on any target but {@code target} from now on. Targets
+     * avoided earlier are allowed again.
+     */
     Job withRefusalBy(String target) {
         PSet<String> avoided = HashTreePSet.singleton(target);
         return new Job(
@@ -124,6 +128,7 @@
                 cancelRequested);
     }
 
+    /** Returns this job with one more attempt abandoned before any member ran. */
     Job withAbortedStart() {
         return new Job(
                 request,
@@ -137,6 +142,7 @@
                 cancelRequested);
     }
 
+    /** Returns this job as one of which a member has started. */
     Job withStart() {
         return new Job(
                 request,
@@ -150,7 +156,7 @@
                 cancelRequested);
     }
 
-    /** Returns this job as one that another scheduler may have started. */
+    /** Returns this job as one that another scheduler may have started, unless it has started here. */
     Job withPossibleStart() {
         StartStatus known = startStatus == StartStatus.NOT_STARTED ? StartStatus.POSSIBLY_STARTED : startStatus;
         return new Job(
--- a/acacia-core/src/main/java/org/acaciaport/decision/Member.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Member.java
@@ -5,7 +5,7 @@
  *
  * <p>Immutable.
  *
- * @param index index within the gang, from 0
+ * @param index index within the attempt, from 0
  * @param target identifier of its target
  * @param units accelerators that it occupies there
  */
--- a/acacia-core/src/main/java/org/acaciaport/decision/MemberState.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/MemberState.java
@@ -1,42 +1,42 @@
 package org.acaciaport.decision;
 
 /**
- * What is known of one started member.
+ * The last known state of a member whose start has been sent.
  *
  * <p>Immutable.
  *
- * @param status how far it has come
- * @param output its whole output once ended; empty before
+ * @param status its position in the life cycle
+ * @param output its complete output once it has ended or failed; empty before
  */
 public record MemberState(Status status, String output) {
-    /** How far a member has come. */
+    /** A position in the life cycle of a member. */
     public enum Status {
-        /** The start has been sent. */
+        /** The start has been sent but not yet confirmed. */
         STARTING,
         /** The target confirmed the start. */
         RUNNING,
-        /** Ran to its end. */
+        /** The member ran to its end. */
         ENDED,
-        /** Ran and failed. */
+        /** The member ran and failed. */
         FAILED,
-        /** The target certainly did not start it. */
+        /** The target did not start the member and will not start it later. */
         NOT_STARTED,
-        /** State saved and taken off the target. */
+        /** The target saved the member's state and ended it. */
         CHECKPOINTED,
-        /** Paused on the target without accelerators. */
+        /** The member is paused on the target and occupies no accelerators. */
         THROTTLED,
-        /** Stopped on request. */
+        /** The target stopped the member on request. */
         STOPPED,
-        /** Its target is gone. */
+        /** The target's lease expired or the target stopped answering, so the member no longer runs. */
         LOST
     }
 
-    /** Returns a state without output. */
+    /** Returns a state with {@code status} and no output. */
     static MemberState of(Status status) {
         return new MemberState(status, "");
     }
 
-    /** Returns whether the member still occupies accelerators. */
+    /** Returns whether the member may still occupy accelerators. */
     public boolean occupiesAccelerators() {
         return status == Status.STARTING || status == Status.RUNNING;
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Policy.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Policy.java
@@ -1,25 +1,30 @@
 package org.acaciaport.decision;
 
 /**
- * Limits that the decisions keep to. Spans are policy; the state stores the deadlines made from them.
+ * The limits and timeouts that the decisions respect.
  *
- * <p>Immutable.
+ * <p>Immutable. The policy holds durations only; the state stores the deadlines computed from them.
  *
- * @param maxQueuedPerAccount most waiting requests of one account
- * @param startWindowMillis how long a target may take to start a member after it was told
- * @param reserveTimeoutMillis how long targets may take to agree to hold places
- * @param checkpointTimeoutMillis how long a checkpoint may take
- * @param throttleTimeoutMillis how long a throttle may take
- * @param stopTimeoutMillis how long a stop may take before the target counts as unreachable
- * @param starvationMillis how long a request waits before places are set aside for it
- * @param agingMillis waiting time that is worth one step of priority
- * @param maxFailedAttempts failed attempts after which an idempotent request is answered as failed
- * @param baseRetryDelayMillis pause before a request is tried again, before the doubling for each earlier try
- * @param retryPercent share of started attempts that may be retries, in percent
- * @param failuresForProbation different failed requests of several accounts that put a target on probation
- * @param initialProbeDelayMillis first pause before a target on probation is probed; doubles each time
- * @param maxProbeDelayMillis longest pause between probes
- * @param firstSecondStarts starts in the first second after a data centre returns; doubles each second
+ * @param maxQueuedPerAccount maximum number of waiting requests of one account
+ * @param startWindowMillis time in which a target may start a member, counted from the command to start it
+ * @param reserveTimeoutMillis time in which targets must answer a reservation
+ * @param checkpointTimeoutMillis time in which a checkpoint must be complete
+ * @param throttleTimeoutMillis time in which a throttle must take effect
+ * @param stopTimeoutMillis time in which a stop must take effect; after it, the member counts as lost
+ * @param starvationMillis waiting time after which places may be set aside for a request; also the time after which
+ *     paused work that may run again is ended and queued again
+ * @param agingMillis waiting time that raises a request's priority by one
+ * @param maxFailedAttempts number of failed attempts at which an idempotent request is answered as failed
+ * @param baseRetryDelayMillis delay before a request is placed again, doubled for each consecutive attempt without
+ *     success
+ * @param retryPercent maximum share of retries among started attempts in the long run, in percent
+ * @param failuresForProbation number of different failed requests, of at least two accounts, that puts a target on
+ *     probation; twice as many are needed if all belong to one account
+ * @param initialProbeDelayMillis delay before a target on probation is probed for the first time; doubles with each
+ *     further probation
+ * @param maxProbeDelayMillis upper bound of the delay before a probe
+ * @param firstSecondStarts starts allowed in the first second after a data centre returns to service; the number
+ *     doubles with each further second
  */
 public record Policy(
         int maxQueuedPerAccount,
@@ -37,18 +42,23 @@
         long initialProbeDelayMillis,
         long maxProbeDelayMillis,
         int firstSecondStarts) {
+    /** Bounds the exponential backoff between attempts. */
     private static final int MAX_DOUBLINGS = 6;
 
-    /** The limits that the programs use. */
+    /** The policy that the programs use. */
     public static final Policy STANDARD =
             new Policy(10_000, 2_000, 2_000, 2_000, 500, 1_000, 10_000, 5_000, 4, 200, 20, 3, 2_000, 60_000, 8);
 
-    /** Returns the pause before a request is tried again after {@code times} tries in a row without success. */
-    public long retryDelayMillis(int times) {
-        return baseRetryDelayMillis << Math.min(times, MAX_DOUBLINGS);
+    /**
+     * Returns the delay before a request is placed again, in milliseconds.
+     *
+     * @param attempts number of consecutive attempts without success
+     */
+    public long retryDelayMillis(int attempts) {
+        return baseRetryDelayMillis << Math.min(attempts, MAX_DOUBLINGS);
     }
 
-    /** Returns the longest time from a claim to its accelerators being free, in milliseconds. */
+    /** Returns the maximum time in which claimed units are cleared of revocable work, in milliseconds. */
     public long maxReclaimMillis() {
         return checkpointTimeoutMillis + throttleTimeoutMillis + stopTimeoutMillis;
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
@@ -22,7 +22,7 @@
         if (target == null || target.health().equals(Health.HEALTHY)) {
             return;
         }
-        boolean probed = target.health().failedProbes() > 0;
+        boolean probed = target.health().consecutiveProbations() > 0;
         draft.changeTarget(id, t -> t.with(Health.HEALTHY));
         if (probed) {
             draft.note(PART, "target=" + id + " trusted again why=a task succeeded");
@@ -36,7 +36,7 @@
             return;
         }
         if (target.health().awaitsProbeResult()) {
-            begin(target, target.health().failedProbes() + 1);
+            begin(target, target.health().consecutiveProbations() + 1);
             return;
         }
         Health health = target.health().withFailedRequest(job.id(), job.account());
--- a/acacia-core/src/main/java/org/acaciaport/decision/Queues.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Queues.java
@@ -8,7 +8,7 @@
 import org.pcollections.TreePMap;
 
 /**
- * Waiting requests, by account and profile, in arrival order.
+ * The queues of waiting requests, one for each account and profile, in arrival order.
  *
  * <p>Immutable. An account or profile without waiting requests has no entry.
  */
@@ -23,6 +23,7 @@
         this.sizes = sizes;
     }
 
+    /** Returns these queues with {@code job} at its place by arrival; unchanged if it is queued already. */
     Queues plus(Job job) {
         PMap<String, TreePMap<Long, String>> profiles = byAccount.getOrDefault(job.account(), TreePMap.empty());
         TreePMap<Long, String> queue = profiles.getOrDefault(job.profile().name(), TreePMap.empty());
@@ -34,6 +35,7 @@
         return new Queues(byAccount.plus(job.account(), next), sizes.plus(job.account(), size(job.account()) + 1));
     }
 
+    /** Returns these queues without {@code job}; unchanged if it is not queued. */
     Queues minus(Job job) {
         PMap<String, TreePMap<Long, String>> profiles = byAccount.get(job.account());
         TreePMap<Long, String> queue =
@@ -55,7 +57,7 @@
         return byAccount.keySet();
     }
 
-    /** Returns the identifiers of the first waiting request of each of the account's profiles. */
+    /** Returns the identifiers of the oldest waiting request of each profile of {@code account}. */
     public Collection<String> heads(String account) {
         PMap<String, TreePMap<Long, String>> profiles = byAccount.get(account);
         return profiles == null
@@ -63,29 +65,29 @@
                 : profiles.values().stream().map(q -> q.firstEntry().getValue()).toList();
     }
 
-    /** Returns the identifier of the last waiting request of a profile, or null. */
+    /** Returns the identifier of the newest waiting request of {@code account} and {@code profile}, or null if none. */
     String last(String account, String profile) {
         TreePMap<Long, String> queue = queue(account, profile);
         return queue == null ? null : queue.lastEntry().getValue();
     }
 
-    /** Returns whether {@code job} is the first waiting request of its account and profile. */
+    /** Returns whether {@code job} is the oldest waiting request of its account and profile. */
     boolean isHead(Job job) {
         TreePMap<Long, String> queue = queue(job.account(), job.profile().name());
         return queue != null && queue.firstKey() == job.sequence();
     }
 
-    /** Returns whether requests of {@code profile} wait in {@code account}. */
+    /** Returns whether {@code account} has waiting requests of {@code profile}. */
     public boolean hasWaiting(String account, String profile) {
         return queue(account, profile) != null;
     }
 
-    /** Returns how many requests of {@code account} wait. */
+    /** Returns the number of waiting requests of {@code account}. */
     public int size(String account) {
         return sizes.getOrDefault(account, 0);
     }
 
-    /** Returns how many requests of all accounts wait. */
+    /** Returns the number of waiting requests of all accounts. */
     public int size() {
         return sizes.values().stream().mapToInt(Integer::intValue).sum();
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/RetryBudget.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RetryBudget.java
@@ -1,11 +1,10 @@
 package org.acaciaport.decision;
 
 /**
- * A balance that limits how many attempts of one profile may be retries.
+ * The retry budget of one profile: bounds the share of its attempts that are retries.
  *
- * <p>Immutable. Every started attempt earns a share of a retry, and every retry spends a whole one. The balance never
- * exceeds {@value #MAX_PERCENT} percent of an attempt, so that a burst of failures causes only a bounded number of
- * retries.
+ * <p>Immutable. Each started attempt earns a fraction of a retry, and each retry spends a whole one. The balance never
+ * exceeds {@value #MAX_PERCENT} percent of an attempt, so a burst of failures leads to a bounded number of retries.
  *
  * @param balancePercent balance in hundredths of an attempt
  */
@@ -13,16 +12,20 @@
     private static final int MAX_PERCENT = 1_000;
     private static final int ATTEMPT_PERCENT = 100;
 
+    /** The budget of a profile that has not been used yet. */
     static final RetryBudget FULL = new RetryBudget(MAX_PERCENT);
 
-    RetryBudget earn(int earned) {
-        return new RetryBudget(Math.min(MAX_PERCENT, balancePercent + earned));
+    /** Returns this budget with {@code earnedPercent} hundredths of a retry added. */
+    RetryBudget earn(int earnedPercent) {
+        return new RetryBudget(Math.min(MAX_PERCENT, balancePercent + earnedPercent));
     }
 
+    /** Returns whether the balance pays for one retry. */
     boolean allowsRetry() {
         return balancePercent >= ATTEMPT_PERCENT;
     }
 
+    /** Returns this budget less one retry. */
     RetryBudget spend() {
         return new RetryBudget(balancePercent - ATTEMPT_PERCENT);
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Revocation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Revocation.java
@@ -3,31 +3,31 @@
 import org.acaciaport.config.Treatment;
 
 /**
- * Running work being taken off its targets.
+ * A revocation under way: running work is being taken off its targets.
  *
  * <p>Immutable.
  *
- * @param cause why
- * @param treatment treatment now under way
- * @param deadline when the next treatment is tried, in milliseconds
- * @param reason one sentence for logs and answers
+ * @param cause why the work is taken off; decides what becomes of the request afterwards
+ * @param treatment the treatment under way
+ * @param deadline when the treatment times out and the next one is tried, in milliseconds
+ * @param reason explanation for logs and answers
  */
 public record Revocation(Cause cause, Treatment treatment, long deadline, String reason) {
-    /** Why running work is taken off. */
+    /** Why running work is taken off its targets. */
     public enum Cause {
-        /** An account claims its guarantee, or a large job its turn. */
+        /** Its accelerators are claimed by their owner or were set aside for a large job. */
         RECLAIM,
-        /** The target or the data centre goes out of service. */
+        /** Its target or the data centre goes out of service. */
         OUT_OF_SERVICE,
-        /** The caller cancelled. */
+        /** The caller cancelled the request. */
         CANCEL,
         /** The run limit has passed. */
         RUN_LIMIT,
-        /** Another member failed. */
+        /** Another member of the gang failed. */
         MEMBER_FAILED,
-        /** Another member's target refused its start. */
+        /** The target of another member refused to start it. */
         MEMBER_REFUSED,
-        /** Another member's target is gone. */
+        /** Another member of the gang was lost or taken off. */
         MEMBER_LOST
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/RunTimes.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RunTimes.java
@@ -4,9 +4,9 @@
 import java.util.OptionalLong;
 
 /**
- * The latest observed run times of one profile.
+ * The most recent run times of one profile, for an estimate of how long its next run takes.
  *
- * <p>Immutable; the array is never handed out.
+ * <p>Immutable; the array is never exposed.
  */
 final class RunTimes {
     private static final int MAX_SAMPLES = 32;
@@ -15,7 +15,10 @@
 
     static final RunTimes NONE = new RunTimes(new long[0], 0);
 
+    /** The samples; a ring buffer once there are {@link #MAX_SAMPLES}. */
     private final long[] millis;
+
+    /** Index of the sample to overwrite next. */
     private final int next;
 
     private RunTimes(long[] millis, int next) {
@@ -23,14 +26,15 @@
         this.next = next;
     }
 
+    /** Returns these run times with one more, which replaces the oldest once there are {@link #MAX_SAMPLES}. */
     RunTimes plus(long runMillis) {
-        long[] kept = millis.length < MAX_SAMPLES ? Arrays.copyOf(millis, millis.length + 1) : millis.clone();
+        long[] samples = millis.length < MAX_SAMPLES ? Arrays.copyOf(millis, millis.length + 1) : millis.clone();
         int at = millis.length < MAX_SAMPLES ? millis.length : next;
-        kept[at] = runMillis;
-        return new RunTimes(kept, (at + 1) % MAX_SAMPLES);
+        samples[at] = runMillis;
+        return new RunTimes(samples, (at + 1) % MAX_SAMPLES);
     }
 
-    /** Returns a run time that few runs exceed, in milliseconds; empty until enough runs were seen. */
+    /** Returns the 90th percentile of the run times, in milliseconds; empty if there are too few for an estimate. */
     OptionalLong highPercentileMillis() {
         if (millis.length < MIN_SAMPLES) {
             return OptionalLong.empty();
--- a/acacia-core/src/main/java/org/acaciaport/decision/TargetState.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/TargetState.java
@@ -5,21 +5,21 @@
 import org.acaciaport.config.Target;
 
 /**
- * One target with the work on it.
+ * The state of one target: its configuration, availability, health and work.
  *
- * <p>Immutable. The accelerators in use never exceed the target's; those in use and promised together may, while work
- * is being taken off.
+ * <p>Immutable. The units occupied never exceed the target's accelerators, except while an earlier leader's starts are
+ * unconfirmed. Those occupied and claimed together may, while work is being taken off.
  *
  * @param target the target as configured
- * @param health how far it is trusted
+ * @param health how reliably it runs work
  * @param leaving whether it is going out of service
  * @param reachable whether its lease is held
  * @param load the work on it
- * @param owned accelerators owned, by account
+ * @param owned units owned, by account
  */
 public record TargetState(
         Target target, Health health, boolean leaving, boolean reachable, Load load, Map<String, Integer> owned) {
-    /** Returns the state of an empty, reachable target. */
+    /** Returns the state of a target that is reachable, in service and without work. */
     static TargetState empty(Target target) {
         return new TargetState(target, Health.HEALTHY, false, true, Load.NONE, Map.of());
     }
@@ -29,35 +29,38 @@
         return target.id();
     }
 
-    /** Returns the target's accelerators. */
+    /** Returns the number of the target's accelerators. */
     public int capacity() {
         return target.accelerators();
     }
 
-    /** Returns the accelerators that are neither occupied nor promised; negative while work is being taken off. */
+    /** Returns the units that are neither occupied nor claimed; may be negative while work is being taken off. */
     public int free() {
         return capacity() - load.used() - load.claimed();
     }
 
-    /** Returns the accelerators that irrevocable work may still take without touching what is owned or promised. */
+    /**
+     * Returns the units that remain for irrevocable work of any account, beside the owned units and the irrevocable
+     * work that runs here or has a claim; may be negative.
+     */
     public int unowned() {
         return capacity() - Shares.committed(owned, load.irrevocableWithClaimsByAccount());
     }
 
-    /** Returns the accelerators that irrevocable work of {@code account} may still take here. */
+    /** Returns the units that irrevocable work of {@code account} may take: those unowned and its own unused ones. */
     public int irrevocableCapacityFor(String account) {
-        int spareOwn = owned.getOrDefault(account, 0)
+        int unusedOwned = owned.getOrDefault(account, 0)
                 - load.irrevocableWithClaimsByAccount().getOrDefault(account, 0);
-        return unowned() + Math.max(0, spareOwn);
+        return unowned() + Math.max(0, unusedOwned);
     }
 
-    /** Returns the accelerators that {@code account} owns here and neither occupies nor was promised. */
+    /** Returns the units that {@code account} owns here beyond those that it occupies or claims. */
     public int unusedOwnedBy(String account) {
         int taken = load.usageOf(account).total() + load.claimedBy(account);
         return Math.max(0, owned.getOrDefault(account, 0) - taken);
     }
 
-    /** Returns the accelerators that other accounts own here. */
+    /** Returns the units that accounts other than {@code account} own here. */
     public int ownedByOthers(String account) {
         int sum = 0;
         for (Map.Entry<String, Integer> entry : owned.entrySet()) {
@@ -66,14 +69,14 @@
         return sum;
     }
 
-    /** Returns the accelerators that {@code account} occupies here beyond what it owns. */
+    /** Returns the units that {@code account} occupies here beyond those that it owns. */
     public int borrowedBy(String account) {
         return Math.max(0, load.usageOf(account).total() - owned.getOrDefault(account, 0));
     }
 
     /**
-     * Returns whether one more task may be placed here, apart from accelerators. Slots do not count: a target has at
-     * least as many as accelerators, and every task takes an accelerator.
+     * Returns whether another task may be placed here if enough units are free. Slots need no check: a target has at
+     * least as many slots as accelerators, and every task takes an accelerator.
      */
     public boolean acceptsWork() {
         return isUsable()
@@ -81,12 +84,12 @@
                 && (!health.awaitsProbeResult() || load.jobs().isEmpty());
     }
 
-    /** Returns whether the target is in use and neither on probation nor being probed. */
+    /** Returns whether the target is usable and neither on probation nor being probed. */
     public boolean isTrusted() {
-        return isUsable() && health.failedProbes() == 0;
+        return isUsable() && health.consecutiveProbations() == 0;
     }
 
-    /** Returns whether the target is reachable and stays in service. */
+    /** Returns whether the target is reachable and not going out of service. */
     public boolean isUsable() {
         return reachable && !leaving;
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Workload.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Workload.java
@@ -8,20 +8,20 @@
 import org.pcollections.TreePSet;
 
 /**
- * The unfinished requests of one data centre and what is due for them.
+ * The unfinished requests of one data centre, with their queues, timers and accounting.
  *
  * <p>Immutable.
  *
  * @param jobs unfinished requests by identifier
- * @param queues those that wait for a place and may be placed now
- * @param timers what is due later
- * @param unitsByAccount accelerators in use by account
- * @param retryBudgets retry budgets by profile
- * @param runTimes observed run times by profile
- * @param nextSequence arrival number of the next request
+ * @param queues the requests that wait for a place and are not held back by a retry delay
+ * @param timers the timers that are not due yet
+ * @param unitsByAccount accelerators in use, by account
+ * @param retryBudgets retry budgets, by profile
+ * @param runTimes recent run times, by profile
+ * @param nextSequence sequence number of the next request to arrive
  * @param lastAttempt number of the latest attempt
- * @param paused identifiers of paused requests
- * @param largeJob identifier of the large job for which places are set aside
+ * @param paused identifiers of requests that are paused on a target
+ * @param largeJob identifier of the large job for which places are set aside; empty if none
  */
 public record Workload(
         PMap<String, Job> jobs,
@@ -34,7 +34,7 @@
         long lastAttempt,
         PSet<String> paused,
         Optional<String> largeJob) {
-    /** Returns the work of a new scheduler whose attempts are numbered from {@code lastAttempt} + 1. */
+    /** Returns the empty workload of a new leader, whose attempts are numbered from {@code lastAttempt} + 1. */
     static Workload startingAfter(long lastAttempt) {
         return new Workload(
                 HashTreePMap.empty(),
