--- a/acacia-core/src/main/java/org/acaciaport/decision/Job.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Job.java
@@ -11,43 +11,52 @@
  * <p>Immutable.
  *
  * @param request the request
- * @param sequence arrival order within the data centre; kept when the request is queued again
- * @param phase where it stands
- * @param failures attempts that ran and failed
- * @param refusals attempts in a row that were given up before any member ran
- * @param failedOn identifiers of targets that it avoids since they failed or refused it
- * @param started whether any member may have run
- * @param checkpointed whether a saved state exists from which it resumes
- * @param cancelAsked whether the caller wants it no more
+ * @param sequence number that gives the order of arrival within the data centre; kept when the request is queued again
+ * @param phase its phase
+ * @param failures number of attempts that ran and failed
+ * @param abortedStarts counts the attempts abandoned before any member ran, since the last one that did run
+ * @param avoidedTargets identifiers of the targets on which it is not placed, because they failed or refused it
+ * @param startStatus whether any member may have run
+ * @param checkpointed whether a checkpoint exists from which it resumes
+ * @param cancelRequested whether the caller asked to cancel it
  */
 public record Job(
         Request request,
         long sequence,
         Phase phase,
         int failures,
-        int refusals,
-        PSet<String> failedOn,
-        Started started,
+        int abortedStarts,
+        PSet<String> avoidedTargets,
+        StartStatus startStatus,
         boolean checkpointed,
-        boolean cancelAsked) {
-    /** What is known of starts. */
-    public enum Started {
-        /** No member was ever told to start, or every one certainly did not. */
-        NO,
-        /** Another scheduler may have started it. */
-        PERHAPS,
-        /** A member ran, or may have. */
-        YES
+        boolean cancelRequested) {
+    /** Whether any member of a request may have run. */
+    public enum StartStatus {
+        /** No member was told to start, or it is certain that none of them did. */
+        NOT_STARTED,
+        /** Another scheduler may have started a member. */
+        POSSIBLY_STARTED,
+        /** A member ran, or may have run after this scheduler told it to start. */
+        STARTED
     }
 
     /** Returns whether any member may have run. */
-    public boolean everStarted() {
-        return started != Started.NO;
+    public boolean mayHaveRun() {
+        return startStatus != StartStatus.NOT_STARTED;
     }
 
-    /** Returns a job that has just been accepted. */
+    /** Returns the job for a request that has just been accepted. */
     static Job accepted(Request request, long sequence) {
-        return new Job(request, sequence, new Phase.Queued(0), 0, 0, HashTreePSet.empty(), Started.NO, false, false);
+        return new Job(
+                request,
+                sequence,
+                new Phase.Queued(0),
+                0,
+                0,
+                HashTreePSet.empty(),
+                StartStatus.NOT_STARTED,
+                false,
+                false);
     }
 
     /** Returns the request's identifier. */
@@ -65,9 +74,9 @@
         return request.profile();
     }
 
-    /** Returns the accelerators that the present attempt occupies on {@code target}, or was promised there. */
+    /** Returns the units that the current attempt occupies or claims on {@code target}. */
     int unitsOn(String target) {
-        return phase.current().stream()
+        return phase.currentAttempt().stream()
                 .flatMap(a -> a.members().stream())
                 .filter(m -> m.target().equals(target))
                 .mapToInt(Member::units)
@@ -75,47 +84,100 @@
     }
 
     Job with(Phase next) {
-        return new Job(request, sequence, next, failures, refusals, failedOn, started, checkpointed, cancelAsked);
+        return new Job(
+                request,
+                sequence,
+                next,
+                failures,
+                abortedStarts,
+                avoidedTargets,
+                startStatus,
+                checkpointed,
+                cancelRequested);
     }
 
+    /** Returns this job with one more failed attempt, from now on avoiding {@code target} as well. */
     Job withFailure(String target) {
         return new Job(
                 request,
                 sequence,
                 phase,
                 failures + 1,
-                refusals,
-                failedOn.plus(target),
-                started,
+                abortedStarts,
+                avoidedTargets.plus(target),
+                startStatus,
                 checkpointed,
-                cancelAsked);
+                cancelRequested);
     }
 
-    /** Returns this job with {@code target} avoided next time, in place of earlier ones. */
-    Job avoiding(String target) {
+    /**
+     * Returns this job with one more aborted start, to be placed on any target but {@code target} from now on. Targets
+     * avoided earlier are allowed again.
+     */
+    Job withRefusalBy(String target) {
         PSet<String> avoided = HashTreePSet.singleton(target);
-        return new Job(request, sequence, phase, failures, refusals + 1, avoided, started, checkpointed, cancelAsked);
+        return new Job(
+                request,
+                sequence,
+                phase,
+                failures,
+                abortedStarts + 1,
+                avoided,
+                startStatus,
+                checkpointed,
+                cancelRequested);
     }
 
-    Job withRefusal() {
-        return new Job(request, sequence, phase, failures, refusals + 1, failedOn, started, checkpointed, cancelAsked);
+    /** Returns this job with one more attempt abandoned before any member ran. */
+    Job withAbortedStart() {
+        return new Job(
+                request,
+                sequence,
+                phase,
+                failures,
+                abortedStarts + 1,
+                avoidedTargets,
+                startStatus,
+                checkpointed,
+                cancelRequested);
     }
 
+    /** Returns this job as one of which a member has started. */
     Job withStart() {
-        return new Job(request, sequence, phase, failures, 0, failedOn, Started.YES, checkpointed, cancelAsked);
+        return new Job(
+                request,
+                sequence,
+                phase,
+                failures,
+                0,
+                avoidedTargets,
+                StartStatus.STARTED,
+                checkpointed,
+                cancelRequested);
     }
 
-    /** Returns this job as one that another scheduler may have started. */
-    Job withPerhaps() {
-        Started known = started == Started.NO ? Started.PERHAPS : started;
-        return new Job(request, sequence, phase, failures, refusals, failedOn, known, checkpointed, cancelAsked);
+    /** Returns this job as one that another scheduler may have started, unless it has started here. */
+    Job withPossibleStart() {
+        StartStatus known = startStatus == StartStatus.NOT_STARTED ? StartStatus.POSSIBLY_STARTED : startStatus;
+        return new Job(
+                request,
+                sequence,
+                phase,
+                failures,
+                abortedStarts,
+                avoidedTargets,
+                known,
+                checkpointed,
+                cancelRequested);
     }
 
     Job withCheckpoint(boolean saved) {
-        return new Job(request, sequence, phase, failures, refusals, failedOn, started, saved, cancelAsked);
+        return new Job(
+                request, sequence, phase, failures, abortedStarts, avoidedTargets, startStatus, saved, cancelRequested);
     }
 
-    Job withCancelAsked() {
-        return new Job(request, sequence, phase, failures, refusals, failedOn, started, checkpointed, true);
+    Job withCancelRequested() {
+        return new Job(
+                request, sequence, phase, failures, abortedStarts, avoidedTargets, startStatus, checkpointed, true);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Policy.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Policy.java
@@ -1,55 +1,65 @@
 package org.acaciaport.decision;
 
 /**
- * Limits that the decisions keep to. Spans are policy; the state stores the deadlines made from them.
+ * The limits and timeouts that the decisions respect.
  *
- * <p>Immutable.
+ * <p>Immutable. The policy holds durations only; the state stores the deadlines computed from them.
  *
- * @param maxQueued most waiting requests of one account
- * @param startWindowMillis how long a target may take to start a member after it was told
- * @param reserveMillis how long targets may take to agree to hold places
- * @param checkpointMillis how long a checkpoint may take
- * @param throttleMillis how long a throttle may take
- * @param stopMillis how long a stop may take before the target counts as unreachable
- * @param patienceMillis how long a request waits before places are set aside for it
- * @param agingMillis waiting time that is worth one step of priority
- * @param maxFailures failed attempts after which an idempotent request is answered as failed
- * @param retryMillis first pause before a failed request is tried again; doubles each time
- * @param retryPercent share of started attempts that may be retries, in percent
- * @param suspectsForProbation different failed requests of several accounts that put a target on probation
- * @param probeMillis first pause before a target on probation is probed; doubles each time
- * @param maxProbeMillis longest pause between probes
- * @param rampStarts starts in the first second after a data centre returns; doubles each second
+ * @param maxQueuedPerAccount maximum number of waiting requests of one account
+ * @param startWindowMillis time in which a target may start a member, counted from the command to start it
+ * @param reserveTimeoutMillis time in which targets must answer a reservation
+ * @param checkpointTimeoutMillis time in which a checkpoint must be complete
+ * @param throttleTimeoutMillis time in which a throttle must take effect
+ * @param stopTimeoutMillis time in which a stop must take effect; after it, the member counts as lost
+ * @param starvationMillis waiting time after which places may be set aside for a request; also the time after which
+ *     paused work that may run again is ended and queued again
+ * @param agingMillis waiting time that raises a request's priority by one
+ * @param maxFailedAttempts number of failed attempts at which an idempotent request is answered as failed
+ * @param baseRetryDelayMillis delay before a request is placed again, doubled for each consecutive attempt without
+ *     success
+ * @param retryPercent maximum share of retries among started attempts in the long run, in percent
+ * @param failuresForProbation number of different failed requests, of at least two accounts, that puts a target on
+ *     probation; twice as many are needed if all belong to one account
+ * @param initialProbeDelayMillis delay before a target on probation is probed for the first time; doubles with each
+ *     further probation
+ * @param maxProbeDelayMillis upper bound of the delay before a probe
+ * @param firstSecondStarts starts allowed in the first second after a data centre returns to service; the number
+ *     doubles with each further second
  */
 public record Policy(
-        int maxQueued,
+        int maxQueuedPerAccount,
         long startWindowMillis,
-        long reserveMillis,
-        long checkpointMillis,
-        long throttleMillis,
-        long stopMillis,
-        long patienceMillis,
+        long reserveTimeoutMillis,
+        long checkpointTimeoutMillis,
+        long throttleTimeoutMillis,
+        long stopTimeoutMillis,
+        long starvationMillis,
         long agingMillis,
-        int maxFailures,
-        long retryMillis,
+        int maxFailedAttempts,
+        long baseRetryDelayMillis,
         int retryPercent,
-        int suspectsForProbation,
-        long probeMillis,
-        long maxProbeMillis,
-        int rampStarts) {
-    private static final int MOST_DOUBLINGS = 6;
+        int failuresForProbation,
+        long initialProbeDelayMillis,
+        long maxProbeDelayMillis,
+        int firstSecondStarts) {
+    /** Bounds the exponential backoff between attempts. */
+    private static final int MAX_DOUBLINGS = 6;
 
-    /** The limits that the programs use. */
+    /** The policy that the programs use. */
     public static final Policy STANDARD =
             new Policy(10_000, 2_000, 2_000, 2_000, 500, 1_000, 10_000, 5_000, 4, 200, 20, 3, 2_000, 60_000, 8);
 
-    /** Returns the pause before a request is tried again after {@code times} tries in a row without success. */
-    public long retryAfter(int times) {
-        return retryMillis << Math.min(times, MOST_DOUBLINGS);
+    /**
+     * Returns the delay before a request is placed again, in milliseconds.
+     *
+     * @param attempts number of consecutive attempts without success
+     */
+    public long retryDelayMillis(int attempts) {
+        return baseRetryDelayMillis << Math.min(attempts, MAX_DOUBLINGS);
     }
 
-    /** Returns the longest time from a claim to its accelerators being free, in milliseconds. */
-    public long reclaimMillis() {
-        return checkpointMillis + throttleMillis + stopMillis;
+    /** Returns the maximum time in which claimed units are cleared of revocable work, in milliseconds. */
+    public long maxReclaimMillis() {
+        return checkpointTimeoutMillis + throttleTimeoutMillis + stopTimeoutMillis;
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/RetryBudget.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RetryBudget.java
@@ -1,27 +1,32 @@
 package org.acaciaport.decision;
 
 /**
- * How many more attempts of one profile may be retries.
+ * The retry budget of one profile: bounds the share of its attempts that are retries.
  *
- * <p>Immutable. The balance never exceeds {@value #MOST} percent of an attempt, so a burst of failures cannot multiply.
+ * <p>Immutable. Each started attempt earns a fraction of a retry, and each retry spends a whole one. The balance never
+ * exceeds {@value #MAX_PERCENT} percent of an attempt, so a burst of failures leads to a bounded number of retries.
  *
- * @param percent balance in hundredths of an attempt
+ * @param balancePercent balance in hundredths of an attempt
  */
-record RetryBudget(int percent) {
-    private static final int MOST = 1_000;
-    private static final int ATTEMPT = 100;
+record RetryBudget(int balancePercent) {
+    private static final int MAX_PERCENT = 1_000;
+    private static final int ATTEMPT_PERCENT = 100;
 
-    static final RetryBudget FULL = new RetryBudget(MOST);
+    /** The budget of a profile that has not been used yet. */
+    static final RetryBudget FULL = new RetryBudget(MAX_PERCENT);
 
-    RetryBudget earn(int earned) {
-        return new RetryBudget(Math.min(MOST, percent + earned));
+    /** Returns this budget with {@code earnedPercent} hundredths of a retry added. */
+    RetryBudget earn(int earnedPercent) {
+        return new RetryBudget(Math.min(MAX_PERCENT, balancePercent + earnedPercent));
     }
 
-    boolean allows() {
-        return percent >= ATTEMPT;
+    /** Returns whether the balance pays for one retry. */
+    boolean allowsRetry() {
+        return balancePercent >= ATTEMPT_PERCENT;
     }
 
+    /** Returns this budget less one retry. */
     RetryBudget spend() {
-        return new RetryBudget(percent - ATTEMPT);
+        return new RetryBudget(balancePercent - ATTEMPT_PERCENT);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Workload.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Workload.java
@@ -8,34 +8,34 @@
 import org.pcollections.TreePSet;
 
 /**
- * The unfinished requests of one data centre and what is due for them.
+ * The unfinished requests of one data centre, with their queues, timers and accounting.
  *
  * <p>Immutable.
  *
  * @param jobs unfinished requests by identifier
- * @param queues those that wait for a place and may be placed now
- * @param timers what is due later
- * @param units accelerators in use by account
- * @param budgets retry budgets by profile
- * @param runTimes observed run times by profile
- * @param nextSequence arrival number of the next request
- * @param nextAttempt number of the next attempt
- * @param parked identifiers of paused requests
- * @param drain identifier of the large job for which places are set aside
+ * @param queues the requests that wait for a place and are not held back by a retry delay
+ * @param timers the timers that are not due yet
+ * @param unitsByAccount accelerators in use, by account
+ * @param retryBudgets retry budgets, by profile
+ * @param runTimes recent run times, by profile
+ * @param nextSequence sequence number of the next request to arrive
+ * @param lastAttempt number of the latest attempt
+ * @param paused identifiers of requests that are paused on a target
+ * @param largeJob identifier of the large job for which places are set aside; empty if none
  */
 public record Workload(
         PMap<String, Job> jobs,
         Queues queues,
         TreePSet<Timer> timers,
-        PMap<String, Integer> units,
-        PMap<String, RetryBudget> budgets,
+        PMap<String, Integer> unitsByAccount,
+        PMap<String, RetryBudget> retryBudgets,
         PMap<String, RunTimes> runTimes,
         long nextSequence,
-        long nextAttempt,
-        PSet<String> parked,
-        Optional<String> drain) {
-    /** Returns the work of a new scheduler whose attempts are numbered from {@code firstAttempt}. */
-    static Workload startingAt(long firstAttempt) {
+        long lastAttempt,
+        PSet<String> paused,
+        Optional<String> largeJob) {
+    /** Returns the empty workload of a new leader, whose attempts are numbered from {@code lastAttempt} + 1. */
+    static Workload startingAfter(long lastAttempt) {
         return new Workload(
                 HashTreePMap.empty(),
                 Queues.EMPTY,
@@ -44,7 +44,7 @@
                 HashTreePMap.empty(),
                 HashTreePMap.empty(),
                 0,
-                firstAttempt,
+                lastAttempt,
                 HashTreePSet.empty(),
                 Optional.empty());
     }
