--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/Cells.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/Cells.java
@@ -59,7 +59,7 @@
                     WireException.Kind.NOT_SENT, "scheduler " + address + " is not in the settings; add it", null);
         }
         try {
-            return client.ask(query, millis);
+            return client.call(query, millis);
         } catch (WireException e) {
             metrics.counter("wire.failed").inc();
             throw e;
@@ -76,7 +76,8 @@
         boolean answered = true;
         while (open) {
             try {
-                Message reply = client.ask(new Message.Look(table.get().active().revision()), ANSWER_MILLIS);
+                Message reply =
+                        client.call(new Message.Look(table.get().active().revision()), ANSWER_MILLIS);
                 if (reply instanceof Message.View view) {
                     RoutingTable.Seen seen = new RoutingTable.Seen(view, System.nanoTime() + VALID_NANOS);
                     table.updateAndGet(t -> t.with(address, seen));
--- a/acacia-node/src/main/java/org/acaciaport/node/Peers.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Peers.java
@@ -61,7 +61,7 @@
      */
     Message ask(String address, Message query, long millis) throws WireException {
         WireClient client = clients.computeIfAbsent(address, Peers::connect);
-        Message reply = client.ask(query, millis);
+        Message reply = client.call(query, millis);
         preferred = address;
         return reply;
     }
--- a/acacia-wire/src/main/java/org/acaciaport/wire/WireClient.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/WireClient.java
@@ -53,13 +53,13 @@
     /**
      * Sends {@code query} and waits for its reply.
      *
-     * @param millis longest wait, in milliseconds
-     * @throws WireException if no reply came in time
+     * @param timeoutMillis longest time to wait for the reply, in milliseconds
+     * @throws WireException if the query could not be sent or no reply arrived within the timeout
      */
-    public Message ask(Message query, long millis) throws WireException {
+    public Message call(Message query, long timeoutMillis) throws WireException {
         Link current = open();
-        CompletableFuture<Message> reply = current.send(query, millis);
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        CompletableFuture<Message> reply = current.send(query, timeoutMillis);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (true) {
             long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
             try {
--- a/acacia-wire/src/test/java/org/acaciaport/wire/WireTest.java
+++ b/acacia-wire/src/test/java/org/acaciaport/wire/WireTest.java
@@ -81,7 +81,7 @@
         try (WireServer server = WireServer.start(any, (query, deadline) -> echo(query));
                 WireClient client = WireClient.of(new InetSocketAddress(any.getAddress(), server.port()))) {
             for (int i = 0; i < 100; i++) {
-                Message reply = client.ask(new Message.Explain("r" + i), 5_000);
+                Message reply = client.call(new Message.Explain("r" + i), 5_000);
                 assertThat(reply).isEqualTo(new Message.Explanation(List.of("r" + i)));
             }
         }
