--- a/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
@@ -328,7 +328,7 @@
     /**
      * Marks the place of one member as free again.
      *
-     * @param revoking whether the member was being taken off, so that its units no longer count as such
+     * @param revoking whether the member was being revoked, so that its units no longer count as such
      */
     void vacate(Job job, Member member, boolean revoking) {
         if (fleet.target(member.target()) == null) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Load.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Load.java
@@ -19,7 +19,7 @@
  * @param irrevocableClaims the part of {@code claims} that is for irrevocable work
  * @param claimed units claimed by all accounts, with or without a deadline
  * @param setAside the part of {@code claimed} that is set aside for a large job
- * @param revoking units occupied by work that is being taken off the target
+ * @param revoking units occupied by work that is being revoked
  * @param jobs identifiers of the requests that occupy or claim units here
  * @param paused identifiers of the requests that are paused here
  */
@@ -106,7 +106,7 @@
         return changed == 0 ? map.minus(account) : map.plus(account, changed);
     }
 
-    /** Returns this load with {@code units}, which may be negative, added to those being taken off. */
+    /** Returns this load with {@code units}, which may be negative, added to those being revoked. */
     Load withRevoking(int units) {
         return new Load(usage, used, claims, irrevocableClaims, claimed, setAside, revoking + units, jobs, paused);
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Phase.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Phase.java
@@ -52,7 +52,7 @@
      * @param members state of each member by index
      * @param startedAt when the starts were sent, or the work was resumed or taken over, in milliseconds
      * @param runDeadline when the work is stopped at its run limit, in milliseconds
-     * @param revocation present while the work is being taken off its targets
+     * @param revocation present while the work is being revoked
      */
     record Running(
             Attempt attempt,
--- a/acacia-core/src/main/java/org/acaciaport/decision/Policy.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Policy.java
@@ -46,8 +46,22 @@
     private static final int MAX_DOUBLINGS = 6;
 
     /** The policy that the programs use. */
-    public static final Policy STANDARD =
-            new Policy(10_000, 2_000, 2_000, 2_000, 500, 1_000, 10_000, 5_000, 4, 200, 20, 3, 2_000, 60_000, 8);
+    public static final Policy STANDARD = new Policy(
+            /* maxQueuedPerAccount= */ 10_000,
+            /* startWindowMillis= */ 2_000,
+            /* reserveTimeoutMillis= */ 2_000,
+            /* checkpointTimeoutMillis= */ 2_000,
+            /* throttleTimeoutMillis= */ 500,
+            /* stopTimeoutMillis= */ 1_000,
+            /* starvationMillis= */ 10_000,
+            /* agingMillis= */ 5_000,
+            /* maxFailedAttempts= */ 4,
+            /* baseRetryDelayMillis= */ 200,
+            /* retryPercent= */ 20,
+            /* failuresForProbation= */ 3,
+            /* initialProbeDelayMillis= */ 2_000,
+            /* maxProbeDelayMillis= */ 60_000,
+            /* firstSecondStarts= */ 8);
 
     /**
      * Returns the delay before a request is placed again, in milliseconds.
--- a/acacia-core/src/main/java/org/acaciaport/decision/TargetState.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/TargetState.java
@@ -8,7 +8,7 @@
  * The state of one target: its configuration, availability, health and work.
  *
  * <p>Immutable. The units occupied never exceed the target's accelerators, except while an earlier leader's starts are
- * unconfirmed. Those occupied and claimed together may, while work is being taken off.
+ * unconfirmed. Those occupied and claimed together may, while work is being revoked.
  *
  * @param target the target as configured
  * @param health how reliably it runs work
@@ -34,7 +34,7 @@
         return target.accelerators();
     }
 
-    /** Returns the units that are neither occupied nor claimed; may be negative while work is being taken off. */
+    /** Returns the units that are neither occupied nor claimed; may be negative while work is being revoked. */
     public int free() {
         return capacity() - load.used() - load.claimed();
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
@@ -13,7 +13,7 @@
  *       several members is a <i>gang</i>. A member's <i>place</i> is its target and its units there.
  *   <li>An account <i>owns</i> units that its guarantee assigns to it on some targets, and <i>borrows</i> whatever it
  *       occupies beyond that.
- *   <li><i>Revocable</i> work can be taken off its targets within a bounded time: by a checkpoint, a throttle or a
+ *   <li><i>Revocable</i> work can be made to free its units within a bounded time: by a checkpoint, a throttle or a
  *       stop. All other work is <i>irrevocable</i> and runs to its end or its run limit.
  *   <li>A <i>claim</i> reserves places that are still occupied for a job that waits until they are free. A claim on
  *       units that the account owns revokes the work that borrows them. Places claimed for a <i>large job</i> that has
