--- a/acacia-core/src/main/java/org/acaciaport/decision/Job.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Job.java
@@ -74,7 +74,7 @@
         return request.profile();
     }
 
-    /** Returns the units that the current attempt occupies or claims on {@code target}. */
+    /** Returns the units of the current attempt's place on {@code target}; zero if it has none there. */
     int unitsOn(String target) {
         return phase.currentAttempt().stream()
                 .flatMap(a -> a.members().stream())
