--- a/acacia-node/src/main/java/org/acaciaport/node/AdaptiveTimeout.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/AdaptiveTimeout.java
@@ -1,42 +1,42 @@
 package org.acaciaport.node;
 
 /**
- * Estimates how long to wait for an answer from the durations of earlier calls.
+ * A timeout for calls that adapts to the durations of earlier calls.
  *
- * <p>Safe for use by several threads.
+ * <p>It is a multiple of the moving average of the durations, within bounds, and doubles after each call that timed
+ * out. Thread-safe.
  */
 final class AdaptiveTimeout {
-    /** Shortest wait, in milliseconds. */
-    private static final long LEAST_MILLIS = 300;
+    private static final long MIN_MILLIS = 300;
 
-    /** Longest wait, in milliseconds. */
-    private static final long MOST_MILLIS = 1_500;
+    private static final long MAX_MILLIS = 1_500;
 
-    /** How many times the usual duration a call may take. */
-    private static final int FACTOR = 4;
+    /** Multiple of the average duration that a call may take. */
+    private static final int DURATION_FACTOR = 4;
 
-    /** Weight of the newest duration. */
-    private static final double WEIGHT = 0.25;
+    /** Weight of the latest duration in the moving average. */
+    private static final double LATEST_WEIGHT = 0.25;
 
-    /** Usual duration; long before the first answer, since a first call also loads classes. */
-    private double usualMillis = 250;
+    /** Moving average of the durations. Starts high, since the first call also loads classes. */
+    private double averageMillis = 250;
 
-    private long backedOffMillis;
+    /** Lower bound of the timeout after calls that timed out, in milliseconds. */
+    private long backoffMillis;
 
-    /** Returns how long to wait for the next answer, in milliseconds. */
-    synchronized long millis() {
-        long usual = (long) (FACTOR * usualMillis);
-        return Math.min(MOST_MILLIS, Math.max(Math.max(LEAST_MILLIS, usual), backedOffMillis));
+    /** Returns the timeout of the next call, in milliseconds. */
+    synchronized long currentMillis() {
+        long fromAverage = (long) (DURATION_FACTOR * averageMillis);
+        return Math.min(MAX_MILLIS, Math.max(Math.max(MIN_MILLIS, fromAverage), backoffMillis));
     }
 
-    /** Takes note of an answer that took {@code millis} milliseconds. */
-    synchronized void answered(double millis) {
-        usualMillis += WEIGHT * (millis - usualMillis);
-        backedOffMillis = 0;
+    /** Records an answer that took {@code millis} milliseconds, and ends the backoff. */
+    synchronized void recordAnswer(double millis) {
+        averageMillis += LATEST_WEIGHT * (millis - averageMillis);
+        backoffMillis = 0;
     }
 
-    /** Takes note that no answer came in time; the next call may take longer. */
-    synchronized void missed() {
-        backedOffMillis = Math.min(MOST_MILLIS, 2 * millis());
+    /** Records a call that timed out, and doubles the timeout of the next one. */
+    synchronized void recordTimeout() {
+        backoffMillis = Math.min(MAX_MILLIS, 2 * currentMillis());
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/CancelRecord.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/CancelRecord.java
@@ -1,11 +1,11 @@
 package org.acaciaport.node;
 
 /**
- * Says that a caller cancelled a job.
+ * The record of a caller's cancellation of a job.
  *
  * <p>Immutable.
  *
- * @param id the job
- * @param askedMillis when, in milliseconds since 1970
+ * @param id id of the job
+ * @param askedMillis time of the request, in milliseconds since 1970
  */
 public record CancelRecord(String id, long askedMillis) {}
--- a/acacia-node/src/main/java/org/acaciaport/node/Clocks.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Clocks.java
@@ -2,7 +2,7 @@
 
 import org.acaciaport.pool.ClockReading;
 
-/** Reads both clocks of the process. Safe for use by several threads. */
+/** Readings of the monotonic clock and the time of day. Thread-safe. */
 final class Clocks {
     static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -12,25 +12,26 @@
         return new ClockReading(System.nanoTime(), System.currentTimeMillis());
     }
 
-    /** Returns a deadline {@code millis} milliseconds from now, as a reading of the steady clock. */
-    static long in(long millis) {
+    /** Returns a deadline {@code millis} milliseconds from now, as a reading of the monotonic clock. */
+    static long deadlineAfter(long millis) {
         return System.nanoTime() + millis * NANOS_PER_MILLI;
     }
 
+    /** Returns the milliseconds left until {@code deadline}, negative once it has passed. */
     static long millisUntil(long deadline) {
         return (deadline - System.nanoTime()) / NANOS_PER_MILLI;
     }
 
     /**
-     * Returns the age of {@code then} in milliseconds, by the clock that shows more: the steady clock does not count
-     * the time in which the process was suspended, and the time of day may be set back.
+     * Returns the age of {@code then} in milliseconds, by the clock that shows more. The monotonic clock does not
+     * advance while the process is suspended, and the time of day may be set back.
      */
-    static long age(ClockReading then) {
+    static long ageMillis(ClockReading then) {
         ClockReading now = now();
         return Math.max(now.millisSince(then.monotonicNanos()), now.wallClockMillis() - then.wallClockMillis());
     }
 
-    /** Sleeps; returns false if the thread was interrupted, which stays noted. */
+    /** Sleeps; returns false, with the interrupt status set, if the thread was interrupted. */
     static boolean sleep(long millis) {
         try {
             Thread.sleep(millis);
--- a/acacia-node/src/main/java/org/acaciaport/node/ConfigurationView.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/ConfigurationView.java
@@ -8,18 +8,23 @@
 import org.jboss.logging.Logger;
 
 /**
- * What this node knows of the operators' publications, and since when for sure.
+ * This node's view of the operators' configuration, with the moment as of which it is known to be the latest.
  *
- * <p>Safe for use by several threads. The version never falls while the process lives. Evacuations count once all
- * records are there, so that a re-read from the start does not end them for a moment.
+ * <p>Thread-safe. The version of the configuration never decreases during the life of the process. Changed evacuations
+ * take effect only when all records have been read, so that a new snapshot does not end them temporarily.
  */
 final class ConfigurationView implements TopicConsumer.Sink {
     private static final Logger LOG = Logger.getLogger(ConfigurationView.class);
 
     private final OperatorCodec codec;
-    private final Set<String> requested = new TreeSet<>();
-    private Set<String> evacuated = Set.of();
-    private OperatorConfiguration configuration;
+
+    /** Data centres with an evacuation record in the log as far as it has been read. */
+    private final Set<String> requestedEvacuations = new TreeSet<>();
+
+    /** Data centres whose evacuation is in effect. */
+    private Set<String> activeEvacuations = Set.of();
+
+    private OperatorConfiguration latest;
     private ClockReading asOf;
     private Runnable listener = () -> {};
 
@@ -29,19 +34,19 @@
 
     @Override
     public synchronized void reset() {
-        requested.clear();
+        requestedEvacuations.clear();
         asOf = null;
     }
 
     @Override
     public synchronized void apply(KeyedRecord record, long offset) {
         switch (codec.decodePublished(record)) {
-            case OperatorCodec.Published published -> publish(published.configuration());
+            case OperatorCodec.Published published -> applyConfiguration(published.configuration());
             case OperatorCodec.Evacuation evacuation -> {
                 if (evacuation.requested()) {
-                    requested.add(evacuation.dataCentre());
+                    requestedEvacuations.add(evacuation.dataCentre());
                 } else {
-                    requested.remove(evacuation.dataCentre());
+                    requestedEvacuations.remove(evacuation.dataCentre());
                 }
             }
             case OperatorCodec.Ignored ignored ->
@@ -49,11 +54,11 @@
         }
     }
 
-    private void publish(OperatorConfiguration published) {
-        if (configuration != null && published.version() <= configuration.version()) {
+    private void applyConfiguration(OperatorConfiguration published) {
+        if (latest != null && published.version() <= latest.version()) {
             return;
         }
-        configuration = published;
+        latest = published;
         listener.run();
         LOG.infof(
                 "configuration: version=%s queues=%s accounts=%s outcome=in-force",
@@ -63,31 +68,32 @@
     }
 
     @Override
-    public synchronized void caughtUp(ClockReading moment, long next) {
+    public synchronized void caughtUp(ClockReading moment, long nextOffset) {
         asOf = moment;
-        if (!evacuated.equals(requested)) {
-            evacuated = Set.copyOf(requested);
-            LOG.infof("configuration: evacuated=%s offset=%s outcome=in-force", evacuated, next);
+        if (!activeEvacuations.equals(requestedEvacuations)) {
+            activeEvacuations = Set.copyOf(requestedEvacuations);
+            LOG.infof("configuration: evacuated=%s offset=%s outcome=in-force", activeEvacuations, nextOffset);
             listener.run();
         }
     }
 
-    /** Returns the newest publication, or null if there is none yet. */
-    synchronized OperatorConfiguration configuration() {
-        return configuration;
+    /** Returns the latest configuration, or null if there is none yet. */
+    synchronized OperatorConfiguration latest() {
+        return latest;
     }
 
-    /** Returns a moment as of which the publication is known to be the newest, or null if there is none. */
+    /** Returns the moment as of which the configuration is known to be the latest, or null after a reset. */
     synchronized ClockReading asOf() {
         return asOf;
     }
 
+    /** Returns the settings of the pool; empty ones while there is no configuration. */
     synchronized PoolSettings poolSettings() {
-        return configuration == null ? PoolSettings.EMPTY : configuration.poolSettings(evacuated);
+        return latest == null ? PoolSettings.EMPTY : latest.poolSettings(activeEvacuations);
     }
 
-    /** Calls {@code listener} after each change; it must not block. */
-    synchronized void listen(Runnable listener) {
+    /** Replaces the listener, which is called after each change, under this object's lock; it must not block. */
+    synchronized void setListener(Runnable listener) {
         this.listener = listener;
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/FailoverLog.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/FailoverLog.java
@@ -15,40 +15,45 @@
 import org.jboss.logging.Logger;
 
 /**
- * Reaches the log directly, or through a peer while the log turns this node away.
+ * A client of the shared log that fails over to relaying peers while the log does not serve this node directly. It also
+ * relays the calls of peers.
  *
- * <p>Safe for use by several threads. Peers never pass a relayed call on. An append is tried on another way only if
- * nothing was done on the first or a repeat is harmless; once one try had no answer, the outcome is never
+ * <p>Thread-safe. A relayed call is never relayed again. An append is retried on another route only if it had no effect
+ * on the first or a repetition is harmless. Once an attempt has had no answer, the outcome is never
  * {@link AppendOutcome.Refused}.
  */
 public final class FailoverLog implements KeyedLog, WireServer.Handler {
     private static final Logger LOG = Logger.getLogger(FailoverLog.class);
 
-    /** Pause between two probes of the direct way while it fails, in milliseconds. */
-    private static final long PROBE_MILLIS = 400;
+    /** Interval between probes of the direct route while it fails, in milliseconds. */
+    private static final long PROBE_INTERVAL_MILLIS = 400;
 
-    /** Time without an answer from any peer after which this node counts as cut off alone, in milliseconds. */
-    private static final long ALONE_MILLIS = 1_000;
+    /** Time without an answer from the log or a peer after which this node counts as isolated, in milliseconds. */
+    private static final long ISOLATION_TIMEOUT_MILLIS = 1_000;
 
     private final KeyedLog direct;
     private final Peers peers;
-    private final AdaptiveTimeout directTime = new AdaptiveTimeout();
-    private final AdaptiveTimeout peerTime = new AdaptiveTimeout();
+    private final AdaptiveTimeout directTimeout = new AdaptiveTimeout();
+    private final AdaptiveTimeout peerTimeout = new AdaptiveTimeout();
     private volatile boolean directFails;
     private volatile boolean reachable = true;
-    private volatile long probeAt;
+    private volatile long nextProbeNanos;
 
-    /** When a peer last answered or the log was last reached, on the steady clock, in nanoseconds. */
-    private volatile long companyNanos = System.nanoTime();
+    /** When a peer or the log last answered, on the monotonic clock, in nanoseconds. */
+    private volatile long lastContactNanos = System.nanoTime();
 
     FailoverLog(KeyedLog direct, Peers peers) {
         this.direct = direct;
         this.peers = peers;
     }
 
-    /** One way to the log: null stands for the direct one. */
-    private record Way(String peer) {
-        static final Way DIRECT = new Way(null);
+    /**
+     * A route to the log.
+     *
+     * @param peer address of the relaying peer; null for the direct route
+     */
+    private record Route(String peer) {
+        static final Route DIRECT = new Route(null);
 
         boolean isDirect() {
             return peer == null;
@@ -56,80 +61,87 @@
     }
 
     /**
-     * Returns whether the newest call found some way to the log; false also while other ways are tried for the first
-     * time after the direct one failed.
+     * Returns whether the latest call reached the log on some route. Also false between the first failure of the direct
+     * route and the first successful relayed call.
      */
-    boolean reachable() {
+    boolean isReachable() {
         return reachable;
     }
 
-    /** Returns whether neither the log nor any peer has answered for a while, so that only this node may be cut off. */
-    boolean alone() {
-        return !reachable && Clocks.millisUntil(companyNanos) < -ALONE_MILLIS;
+    /** Returns whether neither the log nor a peer has answered recently, so that only this node may be partitioned. */
+    boolean isIsolated() {
+        return !reachable && Clocks.millisUntil(lastContactNanos) < -ISOLATION_TIMEOUT_MILLIS;
     }
 
-    /** Returns the ways of a read in order; while the direct one fails, it is probed now and then. */
-    private List<Way> waysToRead() {
-        List<Way> ways = new ArrayList<>();
-        boolean probe = directFails && System.nanoTime() >= probeAt;
+    /** Returns the routes of a read in the order to try; a failing direct route is only probed at intervals. */
+    private List<Route> readRoutes() {
+        List<Route> routes = new ArrayList<>();
+        boolean probe = directFails && System.nanoTime() >= nextProbeNanos;
         if (probe) {
-            probeAt = Clocks.in(PROBE_MILLIS);
+            nextProbeNanos = Clocks.deadlineAfter(PROBE_INTERVAL_MILLIS);
         }
         if (!directFails || probe) {
-            ways.add(Way.DIRECT);
+            routes.add(Route.DIRECT);
         }
-        peers.candidates().forEach(peer -> ways.add(new Way(peer)));
-        return ways;
+        peers.candidates().forEach(peer -> routes.add(new Route(peer)));
+        return routes;
     }
 
-    /** Returns the ways of an append in order; callers wait for it, so the direct way comes last while it fails. */
-    private List<Way> waysToAppend() {
-        List<Way> ways = new ArrayList<>();
-        peers.candidates().forEach(peer -> ways.add(new Way(peer)));
-        ways.add(directFails ? ways.size() : 0, Way.DIRECT);
-        return ways;
+    /** Returns the routes of an append in order; since callers wait for it, a failing direct route comes last. */
+    private List<Route> appendRoutes() {
+        List<Route> routes = new ArrayList<>();
+        peers.candidates().forEach(peer -> routes.add(new Route(peer)));
+        routes.add(directFails ? routes.size() : 0, Route.DIRECT);
+        return routes;
     }
 
-    /** Makes one call on one way; returns null if there was no usable answer in time. */
-    private <T> T call(Way way, long waitMillis, long deadline, Call<T> call) {
-        AdaptiveTimeout time = way.isDirect() ? directTime : peerTime;
-        long millis = Math.max(1, Math.min(waitMillis + time.millis(), Clocks.millisUntil(deadline)));
-        long begun = System.nanoTime();
-        T outcome = way.isDirect() ? call.direct().apply(Clocks.in(millis)) : ask(way.peer(), call, millis);
+    /**
+     * Makes one call on one route; returns null if there was no usable answer in time.
+     *
+     * @param waitMillis how long the log may hold back the answer, in milliseconds
+     */
+    private <T> T call(Route route, long waitMillis, long deadline, Call<T> call) {
+        AdaptiveTimeout timeout = route.isDirect() ? directTimeout : peerTimeout;
+        long timeoutMillis = Math.max(1, Math.min(waitMillis + timeout.currentMillis(), Clocks.millisUntil(deadline)));
+        long startNanos = System.nanoTime();
+        T outcome = route.isDirect()
+                ? call.direct().apply(Clocks.deadlineAfter(timeoutMillis))
+                : askPeer(route.peer(), call, timeoutMillis);
         boolean answered = outcome != null && call.answered().test(outcome);
-        double took = (double) (System.nanoTime() - begun) / Clocks.NANOS_PER_MILLI;
-        if (answered && took < time.millis()) {
-            time.answered(took);
-        } else if (took >= waitMillis + time.millis()) {
-            time.missed();
+        double durationMillis = (double) (System.nanoTime() - startNanos) / Clocks.NANOS_PER_MILLI;
+        if (answered && durationMillis < timeout.currentMillis()) {
+            timeout.recordAnswer(durationMillis);
+        } else if (durationMillis >= waitMillis + timeout.currentMillis()) {
+            timeout.recordTimeout();
         }
         if (answered) {
-            companyNanos = System.nanoTime();
+            lastContactNanos = System.nanoTime();
         }
-        if (way.isDirect()) {
+        if (route.isDirect()) {
+            // A failed probe of the direct route does not make the log unreachable while relaying works.
             boolean relayed = directFails && reachable;
-            noteDirect(answered);
-            noteReachable(answered || relayed);
+            setDirectAnswers(answered);
+            setReachable(answered || relayed);
         } else if (!answered) {
-            peers.demote(way.peer());
+            peers.recordFailure(route.peer());
         }
         return outcome;
     }
 
     /**
-     * One kind of call, direct and through a peer.
+     * A call of the log that can be made directly or through a peer.
      *
-     * @param direct makes the direct call until a deadline
-     * @param query what a peer is asked
-     * @param read takes the outcome out of a peer's reply; null if it is of another kind
+     * @param direct makes the direct call, given its deadline
+     * @param query the message to a peer
+     * @param read extracts the outcome from a peer's reply; returns null for a reply of another type
      * @param answered whether an outcome shows that the log answered
      */
     private record Call<T>(Function<Long, T> direct, Message query, Function<Message, T> read, Predicate<T> answered) {}
 
-    private <T> T ask(String peer, Call<T> call, long millis) {
+    private <T> T askPeer(String peer, Call<T> call, long timeoutMillis) {
         try {
-            Message reply = peers.ask(peer, call.query(), millis);
-            companyNanos = System.nanoTime();
+            Message reply = peers.ask(peer, call.query(), timeoutMillis);
+            lastContactNanos = System.nanoTime();
             return call.read().apply(reply);
         } catch (WireException e) {
             LOG.debugf("dependency: peer=%s outcome=unavailable reason=%s", peer, e.getMessage());
@@ -137,51 +149,51 @@
         }
     }
 
-    private void noteDirect(boolean answered) {
+    private void setDirectAnswers(boolean answered) {
         if (answered == directFails) {
             directFails = !answered;
-            probeAt = Clocks.in(PROBE_MILLIS);
+            nextProbeNanos = Clocks.deadlineAfter(PROBE_INTERVAL_MILLIS);
             LOG.infof("dependency: log way=direct outcome=%s", answered ? "regained" : "lost");
         }
     }
 
-    private void noteReachable(boolean now) {
-        if (reachable != now) {
-            reachable = now;
-            LOG.infof("dependency: log way=any outcome=%s", now ? "regained" : "lost");
+    private void setReachable(boolean value) {
+        if (reachable != value) {
+            reachable = value;
+            LOG.infof("dependency: log way=any outcome=%s", value ? "regained" : "lost");
         }
     }
 
     @Override
     public AppendOutcome append(Append append, long deadline) {
-        boolean repeatable = !(append.condition() instanceof Append.AtEnd);
+        boolean canRepeat = !(append.condition() instanceof Append.AtEnd);
         Call<AppendOutcome> call = new Call<>(
-                until -> direct.append(append, until),
+                callDeadline -> direct.append(append, callDeadline),
                 new Message.AppendLog(append),
                 reply -> reply instanceof Message.LogAppended answer ? answer.outcome() : null,
-                FailoverLog::answered);
-        boolean unknown = false;
+                FailoverLog::isAnswer);
+        boolean anyUnanswered = false;
         String reason = "no way to the log";
-        for (Way way : waysToAppend()) {
+        for (Route route : appendRoutes()) {
             if (Clocks.millisUntil(deadline) <= 0) {
-                return unknown ? new AppendOutcome.Unknown(reason) : new AppendOutcome.Refused("no time left");
+                return anyUnanswered ? new AppendOutcome.Unknown(reason) : new AppendOutcome.Refused("no time left");
             }
-            AppendOutcome outcome = call(way, 0, deadline, call);
-            if (outcome != null && answered(outcome)) {
-                noteReachable(true);
+            AppendOutcome outcome = call(route, 0, deadline, call);
+            if (outcome != null && isAnswer(outcome)) {
+                setReachable(true);
                 return outcome;
             }
-            unknown |= !(outcome instanceof AppendOutcome.Refused);
+            anyUnanswered |= !(outcome instanceof AppendOutcome.Refused);
             reason = outcome == null ? "no answer" : outcome.toString();
-            if (unknown && !repeatable) {
+            if (anyUnanswered && !canRepeat) {
                 break;
             }
         }
-        noteReachable(false);
-        return unknown ? new AppendOutcome.Unknown(reason) : new AppendOutcome.Refused(reason);
+        setReachable(false);
+        return anyUnanswered ? new AppendOutcome.Unknown(reason) : new AppendOutcome.Refused(reason);
     }
 
-    private static boolean answered(AppendOutcome outcome) {
+    private static boolean isAnswer(AppendOutcome outcome) {
         return switch (outcome) {
             case AppendOutcome.Refused refused -> false;
             case AppendOutcome.Unknown unknown -> false;
@@ -195,39 +207,39 @@
     @Override
     public ReadOutcome read(String topic, long from, long waitMillis, long deadline) {
         Call<ReadOutcome> call = new Call<>(
-                until -> direct.read(topic, from, waitMillis, until),
+                callDeadline -> direct.read(topic, from, waitMillis, callDeadline),
                 new Message.ReadLog(topic, from, waitMillis),
                 reply -> reply instanceof Message.LogRead answer ? answer.outcome() : null,
                 outcome -> !(outcome instanceof ReadOutcome.Unavailable));
-        ReadOutcome outcome = first(waitMillis, deadline, call);
+        ReadOutcome outcome = firstAnswer(waitMillis, deadline, call);
         return outcome == null ? new ReadOutcome.Unavailable("neither the log nor a peer answered") : outcome;
     }
 
     @Override
     public NewestOutcome newest(String topic, String after, long deadline) {
         Call<NewestOutcome> call = new Call<>(
-                until -> direct.newest(topic, after, until),
+                callDeadline -> direct.newest(topic, after, callDeadline),
                 new Message.ReadNewest(topic, after),
                 reply -> reply instanceof Message.NewestRead answer ? answer.outcome() : null,
                 outcome -> outcome instanceof NewestOutcome.Page);
-        NewestOutcome outcome = first(0, deadline, call);
+        NewestOutcome outcome = firstAnswer(0, deadline, call);
         return outcome == null ? new NewestOutcome.Unavailable("neither the log nor a peer answered") : outcome;
     }
 
-    /** Returns the first answer on any way, or null. */
-    private <T> T first(long waitMillis, long deadline, Call<T> call) {
-        for (Way way : waysToRead()) {
-            T outcome = call(way, waitMillis, deadline, call);
+    /** Returns the first answer of the log on any route, or null. */
+    private <T> T firstAnswer(long waitMillis, long deadline, Call<T> call) {
+        for (Route route : readRoutes()) {
+            T outcome = call(route, waitMillis, deadline, call);
             if (outcome != null && call.answered().test(outcome)) {
-                noteReachable(true);
+                setReachable(true);
                 return outcome;
             }
         }
-        noteReachable(false);
+        setReachable(false);
         return null;
     }
 
-    /** Answers a peer that the log turns away. */
+    /** Relays the call of a peer, on the direct route only. */
     @Override
     public Message answer(Message query, long deadline) {
         return switch (query) {
--- a/acacia-node/src/main/java/org/acaciaport/node/JobEntry.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/JobEntry.java
@@ -5,13 +5,13 @@
 import org.acaciaport.pool.JobState;
 
 /**
- * What the log says of one job.
+ * The records of one job in the log.
  *
  * <p>Immutable.
  *
- * @param job what was submitted; null while only later records were seen
- * @param progress newest progress; null before the first
- * @param cancel the cancelling; null if there is none
+ * @param job the job as submitted; null if its record has not been read
+ * @param progress latest progress; null before the first
+ * @param cancel the cancellation; null if there is none
  */
 record JobEntry(Job job, JobProgress progress, CancelRecord cancel) {
     static final JobEntry NONE = new JobEntry(null, null, null);
@@ -32,7 +32,7 @@
         return job == null && progress == null && cancel == null;
     }
 
-    /** Returns the state that callers see. */
+    /** Returns the state shown to callers. A cancellation takes effect here before the leader has processed it. */
     JobState state() {
         if (progress != null && progress.state().isTerminal()) {
             return progress.state();
--- a/acacia-node/src/main/java/org/acaciaport/node/JobService.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/JobService.java
@@ -12,58 +12,58 @@
 import org.jboss.logging.Logger;
 
 /**
- * Answers callers: takes jobs in, says how far they are, cancels them.
+ * Serves callers: accepts jobs, returns their states, and cancels them.
  *
- * <p>Safe for use by several threads. A job is accepted only once it is durable. A refusal means that this node has
- * written nothing for the request; when that is not known, the answer is {@link Answer.Undetermined}.
+ * <p>Thread-safe. A job is accepted only once it is durable. {@link Answer.Refused} means that this node has written
+ * nothing for the request; when that is not certain, the answer is {@link Answer.Undetermined}.
  */
 public final class JobService {
     private static final Logger LOG = Logger.getLogger(JobService.class);
 
-    /** Age up to which the copy of the jobs may be used to say that there is no such job, in milliseconds. */
-    private static final long FRESH_MILLIS = 1_000;
+    /** Staleness of the replica up to which its number of pending jobs is reported, in milliseconds. */
+    private static final long MAX_COUNT_STALENESS_MILLIS = 1_000;
 
-    /** Age of the copy of the jobs from which on callers are better served elsewhere, in milliseconds. */
-    private static final long READY_MILLIS = 1_500;
+    /** Staleness of the replica from which this node is not ready, so that callers use another one, in milliseconds. */
+    private static final long MAX_READY_STALENESS_MILLIS = 1_500;
 
-    /** Pause before an append whose outcome is not known is sent again, in milliseconds. */
-    private static final long AGAIN_MILLIS = 80;
+    /** Delay before an append of unknown outcome is retried, in milliseconds. */
+    private static final long RETRY_DELAY_MILLIS = 80;
 
-    /** Pause of callers while the log cannot be reached by anybody, in seconds. */
-    private static final int OUTAGE_PAUSE_SECONDS = 1;
+    /** Retry-After for callers while no node reaches the log, in seconds. */
+    private static final int OUTAGE_RETRY_AFTER_SECONDS = 1;
 
-    /** Time left to a caller to receive an answer, in milliseconds. */
-    private static final long ANSWER_MILLIS = 40;
+    /** Part of a caller's deadline that is reserved for delivering the answer, in milliseconds. */
+    private static final long ANSWER_RESERVE_MILLIS = 40;
 
     private final Topics topics;
     private final FailoverLog log;
     private final Replica replica;
-    private final TopicConsumer jobs;
-    private final ConfigurationView operators;
+    private final TopicConsumer jobConsumer;
+    private final ConfigurationView configurationView;
     private final long configurationMaxAgeMillis;
     private final MetricRegistry metrics;
 
     JobService(
             Term.Dependencies dependencies,
-            TopicConsumer jobs,
+            TopicConsumer jobConsumer,
             long configurationMaxAgeMillis,
             MetricRegistry metrics) {
         this.topics = dependencies.topics();
         this.log = dependencies.log();
         this.replica = dependencies.replica();
-        this.operators = dependencies.operators();
-        this.jobs = jobs;
+        this.configurationView = dependencies.configuration();
+        this.jobConsumer = jobConsumer;
         this.configurationMaxAgeMillis = configurationMaxAgeMillis;
         this.metrics = metrics;
     }
 
-    /** Where a call goes and on whose behalf. */
+    /** The result of authorizing a call. */
     public sealed interface Access {
         /**
-         * The call may go on.
+         * The call is authorized.
          *
-         * @param queue its queue
-         * @param account the client account; empty on open queues
+         * @param queue the queue that the call addresses
+         * @param account the client account; empty for anonymous callers
          * @param pathSuffix what follows the queue's prefix in the path
          */
         record Granted(OperatorConfiguration.Queue queue, String account, String pathSuffix) implements Access {}
@@ -71,33 +71,33 @@
         /** There is no such queue. */
         record NoQueue() implements Access {}
 
-        /** The key belongs to no client account. */
+        /** The API key belongs to no client account. */
         record UnknownKey() implements Access {}
 
-        /** This node does not know for sure what is published now. */
+        /** This node cannot confirm that its configuration is the latest one. */
         record StaleConfiguration(String reason) implements Access {}
     }
 
-    /** What a caller is told. */
+    /** The answer to a call. */
     public sealed interface Answer {
-        /** The job is durable, or its cancelling is. */
+        /** The job or its cancellation is durable. */
         record Accepted() implements Answer {}
 
-        /** How far the job is. */
+        /** The state of the job. */
         record State(JobState state) implements Answer {}
 
         /** There is no such job. */
         record NoJob() implements Answer {}
 
         /**
-         * Nothing was done, and the request may come again.
+         * Nothing was written; the request may be retried.
          *
          * @param reason why
          */
         record Refused(String reason) implements Answer {}
 
         /**
-         * The outcome is not known; the same request may come again.
+         * The outcome is unknown; the same request may be retried, since requests are idempotent.
          *
          * @param reason why
          */
@@ -105,19 +105,19 @@
     }
 
     /**
-     * Finds the queue and the client account of a call.
+     * Determines the queue and the client account of a call.
      *
      * @param host host without port
      * @param path path of the URL
-     * @param key API key; null without one
+     * @param key API key; null if the call has none
      */
     public Access authorize(String host, String path, String key) {
-        OperatorConfiguration configuration = operators.configuration();
-        ClockReading asOf = operators.asOf();
+        OperatorConfiguration configuration = configurationView.latest();
+        ClockReading asOf = configurationView.asOf();
         if (configuration == null || asOf == null) {
             return new Access.StaleConfiguration("no configuration yet");
         }
-        long age = Clocks.age(asOf);
+        long age = Clocks.ageMillis(asOf);
         if (age > configurationMaxAgeMillis) {
             return new Access.StaleConfiguration("configuration was last confirmed " + age + " ms ago");
         }
@@ -133,30 +133,34 @@
         return new Access.Granted(queue, account == null ? "" : account, pathSuffix);
     }
 
-    /** Returns whether this node can serve, as far as it knows. */
+    /** Returns whether this node's configuration and replica are current enough to serve callers. */
     public boolean isReady() {
-        ClockReading asOf = operators.asOf();
-        ClockReading copy = replica.asOf();
+        ClockReading asOf = configurationView.asOf();
+        ClockReading replicaAsOf = replica.asOf();
         return asOf != null
-                && copy != null
-                && operators.configuration() != null
-                && Clocks.age(asOf) < configurationMaxAgeMillis
-                && Clocks.age(copy) < READY_MILLIS;
+                && replicaAsOf != null
+                && configurationView.latest() != null
+                && Clocks.ageMillis(asOf) < configurationMaxAgeMillis
+                && Clocks.ageMillis(replicaAsOf) < MAX_READY_STALENESS_MILLIS;
     }
 
     /**
-     * Returns when a refused caller should come back, in seconds: at once if only this node seems to be cut off, since
-     * the next try reaches another one; else after a pause in which the log may return.
+     * Returns when a refused caller should retry, in seconds: immediately if only this node seems to be partitioned,
+     * since the retry reaches another one; otherwise after a delay in which the log may recover.
      */
     public int retryAfterSeconds() {
-        return log.alone() ? 0 : OUTAGE_PAUSE_SECONDS;
+        return log.isIsolated() ? 0 : OUTAGE_RETRY_AFTER_SECONDS;
     }
 
-    /** Takes a job in. {@code deadline} is a reading of the steady clock. */
+    /**
+     * Makes a job durable; a job that the replica already has is accepted without another append.
+     *
+     * @param deadline reading of the monotonic clock by which the caller needs the answer
+     */
     public Answer submit(
             Access.Granted access, String id, String payload, List<Step> steps, Job.Schedule schedule, long deadline) {
-        JobEntry known = replica.find(id);
-        if (known != null) {
+        JobEntry existing = replica.find(id);
+        if (existing != null) {
             return new Answer.Accepted();
         }
         OperatorConfiguration.Queue queue = access.queue();
@@ -170,28 +174,29 @@
                 steps,
                 schedule,
                 System.currentTimeMillis());
-        Answer answer = write(JobRecords.job(job), deadline);
+        Answer answer = makeDurable(JobRecords.encode(job), deadline);
         LOG.infof("submit: request=%s queue=%s account=%s outcome=%s", id, queue.name(), access.account(), answer);
         return answer;
     }
 
     /**
-     * Makes a record durable. If the log cannot be reached after an append without an answer, the caller is told so
-     * while it still has time to try another node.
+     * Makes a record durable, retrying while the outcome is unknown. Stops early if the log becomes unreachable, so
+     * that the caller has time left to try another node.
      */
-    private Answer write(KeyedRecord record, long deadline) {
-        long until = deadline - ANSWER_MILLIS * Clocks.NANOS_PER_MILLI;
-        if (!log.reachable()) {
+    private Answer makeDurable(KeyedRecord record, long deadline) {
+        long appendDeadline = deadline - ANSWER_RESERVE_MILLIS * Clocks.NANOS_PER_MILLI;
+        if (!log.isReachable()) {
             return new Answer.Refused("the log cannot be reached now");
         }
         Append append = new Append(topics.jobs(), List.of(record), new Append.Always());
-        AppendOutcome outcome = metrics.timer("append").timeSupplier(() -> log.append(append, until));
+        AppendOutcome outcome = metrics.timer("append").timeSupplier(() -> log.append(append, appendDeadline));
         while (outcome instanceof AppendOutcome.Unknown
-                && log.reachable()
-                && Clocks.millisUntil(until) > AGAIN_MILLIS
-                && Clocks.sleep(AGAIN_MILLIS)) {
-            AppendOutcome again = log.append(append, until);
-            outcome = again instanceof AppendOutcome.Refused ? outcome : again;
+                && log.isReachable()
+                && Clocks.millisUntil(appendDeadline) > RETRY_DELAY_MILLIS
+                && Clocks.sleep(RETRY_DELAY_MILLIS)) {
+            AppendOutcome retried = log.append(append, appendDeadline);
+            // A refused retry leaves the outcome of the earlier attempt unknown.
+            outcome = retried instanceof AppendOutcome.Refused ? outcome : retried;
         }
         return switch (outcome) {
             case AppendOutcome.Appended appended -> new Answer.Accepted();
@@ -204,23 +209,23 @@
     }
 
     /**
-     * Returns what the log says of the account's job; null if there is none for sure.
+     * Returns the account's job, or null if there is certainly none.
      *
-     * @throws NotCurrentException if the copy has no such job and cannot be made current in time
+     * @throws StaleReplicaException if the replica lacks the job and cannot be brought up to date in time
      */
-    private JobEntry find(Access.Granted access, String id, long deadline) throws NotCurrentException {
+    private JobEntry find(Access.Granted access, String id, long deadline) throws StaleReplicaException {
         JobEntry entry = replica.find(id);
         if (entry == null) {
-            if (!jobs.catchUp(deadline - ANSWER_MILLIS * Clocks.NANOS_PER_MILLI)) {
-                throw new NotCurrentException();
+            if (!jobConsumer.catchUp(deadline - ANSWER_RESERVE_MILLIS * Clocks.NANOS_PER_MILLI)) {
+                throw new StaleReplicaException();
             }
             entry = replica.find(id);
         }
         return entry == null || !entry.job().account().equals(access.account()) ? null : entry;
     }
 
-    /** Thrown when this node cannot tell whether a job exists. */
-    private static final class NotCurrentException extends Exception {
+    /** Thrown when a stale replica cannot show whether a job exists. */
+    private static final class StaleReplicaException extends Exception {
         private static final long serialVersionUID = 1L;
 
         Answer answer() {
@@ -228,12 +233,12 @@
         }
     }
 
-    /** Says how far a job is. */
+    /** Returns the state of a job. */
     public Answer queryState(Access.Granted access, String id, long deadline) {
         try {
             JobEntry entry = find(access, id, deadline);
             return entry == null ? new Answer.NoJob() : new Answer.State(entry.state());
-        } catch (NotCurrentException e) {
+        } catch (StaleReplicaException e) {
             return e.answer();
         }
     }
@@ -248,18 +253,18 @@
             if (entry.state().isTerminal()) {
                 return new Answer.Accepted();
             }
-        } catch (NotCurrentException e) {
+        } catch (StaleReplicaException e) {
             return e.answer();
         }
-        Answer answer = write(JobRecords.cancel(new CancelRecord(id, System.currentTimeMillis())), deadline);
+        Answer answer = makeDurable(JobRecords.encode(new CancelRecord(id, System.currentTimeMillis())), deadline);
         LOG.infof("cancel: request=%s account=%s outcome=%s", id, access.account(), answer);
         return answer;
     }
 
-    /** Returns how many accepted jobs of the queue have no started task, or -1 if that is not known. */
+    /** Returns how many accepted jobs of the queue have no started task, or -1 if the replica is too stale. */
     public long countPending(Access.Granted access) {
         ClockReading asOf = replica.asOf();
-        return asOf == null || Clocks.age(asOf) > FRESH_MILLIS
+        return asOf == null || Clocks.ageMillis(asOf) > MAX_COUNT_STALENESS_MILLIS
                 ? -1
                 : replica.countPending(access.queue().name());
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/LeaderElection.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/LeaderElection.java
@@ -8,38 +8,46 @@
 import org.jboss.logging.Logger;
 
 /**
- * Takes the lead when the log shows that nobody has it.
+ * Elects this node as leader when the log shows no live leader, and runs its term.
  *
- * <p>Runs on a thread of its own. A claim is appended only where this node's copy of the log ends, so of several nodes
- * one succeeds; the offset of its record is the epoch of the term, which no other term can have.
+ * <p>Runs on its own thread. A candidate appends its leader record on condition that the log still ends where its
+ * replica ends, so at most one of several candidates succeeds. The offset of that record is the epoch of the term,
+ * which is therefore unique.
  */
 final class LeaderElection {
     private static final Logger LOG = Logger.getLogger(LeaderElection.class);
-    private static final long LOOK_MILLIS = 25;
+    private static final long CHECK_INTERVAL_MILLIS = 25;
 
-    /** Silence after which a leader counts as lost, in milliseconds; a few of its pauses between records. */
-    private static final long SILENCE_MILLIS = 3 * Term.BEAT_MILLIS;
+    /**
+     * Time without a record from the leader after which it is considered failed, in milliseconds; spans several
+     * heartbeats.
+     */
+    private static final long FAILURE_TIMEOUT_MILLIS = 3 * Term.HEARTBEAT_INTERVAL_MILLIS;
 
-    /** How much of a slow read's duration is added to the silence allowed. */
-    private static final int READ_FACTOR = 2;
+    /**
+     * Multiple of the duration of the last read that is added to the failure timeout, so that a slow log is not
+     * mistaken for a failed leader.
+     */
+    private static final int READ_DURATION_FACTOR = 2;
 
-    /** Longest random delay of a claim, in milliseconds, so that nodes seldom claim at once. */
-    private static final int JITTER_MILLIS = 60;
+    /** Upper bound of the random delay before a claim, in milliseconds; reduces simultaneous claims. */
+    private static final int MAX_JITTER_MILLIS = 60;
 
-    private static final long CLAIM_MILLIS = 1_500;
+    private static final long CLAIM_TIMEOUT_MILLIS = 1_500;
 
     private final LeaderRecord self;
     private final Term.Dependencies dependencies;
-    private final TopicConsumer jobs;
+    private final TopicConsumer jobConsumer;
     private final SplittableRandom random;
     private volatile boolean stopped;
     private volatile Term term;
     private Thread thread;
 
-    LeaderElection(LeaderRecord self, Term.Dependencies dependencies, TopicConsumer jobs, SplittableRandom random) {
+    LeaderElection(
+            LeaderRecord self, Term.Dependencies dependencies, TopicConsumer jobConsumer, SplittableRandom random) {
         this.self = self;
         this.dependencies = dependencies;
-        this.jobs = jobs;
+        this.jobConsumer = jobConsumer;
         this.random = random;
     }
 
@@ -49,75 +57,83 @@
 
     private void run() {
         while (!stopped) {
-            if (vacant()) {
+            if (isLeadershipVacant()) {
                 try {
-                    lead();
+                    claimAndLead();
                 } catch (RuntimeException e) {
                     LOG.errorf(e, "lead: outcome=failed");
                 }
                 term = null;
             }
-            if (!Clocks.sleep(LOOK_MILLIS)) {
+            if (!Clocks.sleep(CHECK_INTERVAL_MILLIS)) {
                 return;
             }
         }
     }
 
-    /** Returns whether the log, read up to now, shows no living leader. */
-    private boolean vacant() {
+    /** Returns whether the log, read to its end, shows no live leader. */
+    private boolean isLeadershipVacant() {
         ClockReading asOf = dependencies.replica().asOf();
-        if (asOf == null || dependencies.operators().configuration() == null || !silent(asOf)) {
+        if (asOf == null || dependencies.configuration().latest() == null || !hasNoLiveLeader(asOf)) {
             return false;
         }
-        Clocks.sleep(random.nextInt(JITTER_MILLIS));
-        ClockReading asked = Clocks.now();
-        if (!jobs.catchUp(Clocks.in(CLAIM_MILLIS))) {
+        Clocks.sleep(random.nextInt(MAX_JITTER_MILLIS));
+        ClockReading readStart = Clocks.now();
+        if (!jobConsumer.catchUp(Clocks.deadlineAfter(CLAIM_TIMEOUT_MILLIS))) {
             return false;
         }
-        ClockReading fresh = dependencies.replica().asOf();
-        long took = Clocks.now().millisSince(asked.monotonicNanos());
+        ClockReading current = dependencies.replica().asOf();
+        long readMillis = Clocks.now().millisSince(readStart.monotonicNanos());
         Replica.Leader leader = dependencies.replica().leader();
-        if (fresh == null || over(leader)) {
-            return fresh != null;
+        if (current == null || hasDefinitelyEnded(leader)) {
+            return current != null;
         }
-        return fresh.millisSince(leader.heardNanos()) > SILENCE_MILLIS + READ_FACTOR * took;
+        return current.millisSince(leader.receivedNanos()) > FAILURE_TIMEOUT_MILLIS + READ_DURATION_FACTOR * readMillis;
     }
 
-    private boolean silent(ClockReading asOf) {
+    /** Returns whether the replica as of {@code asOf} shows no live leader. */
+    private boolean hasNoLiveLeader(ClockReading asOf) {
         Replica.Leader leader = dependencies.replica().leader();
-        return over(leader) || asOf.millisSince(leader.heardNanos()) > SILENCE_MILLIS;
+        return hasDefinitelyEnded(leader) || asOf.millisSince(leader.receivedNanos()) > FAILURE_TIMEOUT_MILLIS;
     }
 
-    /** Returns whether the leader is surely gone: it never was, resigned, or was this node before it started again. */
-    private boolean over(Replica.Leader leader) {
+    /**
+     * Returns whether there is certainly no leader: none so far, one that resigned, or this node before its restart.
+     */
+    private boolean hasDefinitelyEnded(Replica.Leader leader) {
         return leader == null || leader.record().resigned() || self.replaces(leader.record());
     }
 
-    private void lead() {
-        long end = dependencies.replica().next();
+    /** Claims leadership and, if the claim succeeds, runs the term until it ends. */
+    private void claimAndLead() {
+        long end = dependencies.replica().nextOffset();
         Append claim =
-                new Append(dependencies.topics().jobs(), List.of(JobRecords.leader(self)), new Append.AtEnd(end));
-        AppendOutcome outcome = dependencies.log().append(claim, Clocks.in(CLAIM_MILLIS));
+                new Append(dependencies.topics().jobs(), List.of(JobRecords.encode(self)), new Append.AtEnd(end));
+        AppendOutcome outcome = dependencies.log().append(claim, Clocks.deadlineAfter(CLAIM_TIMEOUT_MILLIS));
         LOG.infof("lead: step=claim at=%s outcome=%s", end, outcome);
         if (!(outcome instanceof AppendOutcome.Appended appended)) {
             return;
         }
         long epoch = appended.offset();
-        LeaderLogWriter termLog =
+        LeaderLogWriter logWriter =
                 new LeaderLogWriter(dependencies.log(), dependencies.topics().jobs(), epoch);
-        if (!termLog.bar() || !jobs.catchUp(Clocks.in(CLAIM_MILLIS))) {
+        if (!logWriter.fenceEarlierTerms() || !jobConsumer.catchUp(Clocks.deadlineAfter(CLAIM_TIMEOUT_MILLIS))) {
             return;
         }
-        Term next = new Term(self, epoch, termLog, dependencies);
+        Term next = new Term(self, epoch, logWriter, dependencies);
         term = next;
-        jobs.hurry(true);
+        jobConsumer.setPollContinuously(true);
         if (!stopped) {
             next.run();
         }
-        jobs.hurry(false);
+        jobConsumer.setPollContinuously(false);
     }
 
-    /** Gives up the lead, if it is here, and takes it no more. */
+    /**
+     * Resigns if this node leads, and never claims leadership again.
+     *
+     * @param millis how long to wait for the resignation to become durable, in milliseconds
+     */
     void stop(long millis) {
         stopped = true;
         Term current = term;
--- a/acacia-node/src/main/java/org/acaciaport/node/LeaderLogWriter.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/LeaderLogWriter.java
@@ -9,21 +9,23 @@
 import org.jboss.logging.Logger;
 
 /**
- * The leader's way of writing: one append at a time, each sent again until its outcome is known.
+ * Writes the records of one term: one append at a time, each retried until its outcome is known.
  *
- * <p>One append at a time; {@link #confirmed} may be called by any thread.
+ * <p>The epoch is the fencing token: once the log has accepted an epoch it rejects appends of lower ones. The sequence
+ * number makes a retry idempotent. Calls to {@link #append} must not overlap; {@link #lastConfirmed} is
+ * thread-safe.
  */
 final class LeaderLogWriter {
     private static final Logger LOG = Logger.getLogger(LeaderLogWriter.class);
     private static final String WRITER = "leader";
-    private static final long TRY_MILLIS = 2_500;
-    private static final long PAUSE_MILLIS = 50;
+    private static final long ATTEMPT_TIMEOUT_MILLIS = 2_500;
+    private static final long RETRY_DELAY_MILLIS = 50;
 
     private final KeyedLog log;
     private final String topic;
     private final long epoch;
     private long sequence;
-    private volatile ClockReading confirmed;
+    private volatile ClockReading lastConfirmed;
 
     LeaderLogWriter(KeyedLog log, String topic, long epoch) {
         this.log = log;
@@ -31,28 +33,29 @@
         this.epoch = epoch;
     }
 
-    /** Bars earlier terms from writing; returns false if a later one was there first or the log did not answer. */
-    boolean bar() {
+    /** Fences earlier terms; returns false if a later term has already written or the log did not confirm. */
+    boolean fenceEarlierTerms() {
         ClockReading sent = Clocks.now();
         Append append = new Append(topic, List.of(), new Append.Writer(WRITER, epoch, 0));
-        AppendOutcome outcome = log.append(append, Clocks.in(TRY_MILLIS));
-        confirmed = sent;
-        LOG.infof("lead: epoch=%s step=bar outcome=%s", epoch, outcome);
+        AppendOutcome outcome = log.append(append, Clocks.deadlineAfter(ATTEMPT_TIMEOUT_MILLIS));
+        lastConfirmed = sent;
+        LOG.infof("lead: epoch=%s step=fence outcome=%s", epoch, outcome);
         return outcome instanceof AppendOutcome.Appended;
     }
 
-    /** Appends {@code records}; returns false if a later term has begun. */
+    /** Appends {@code records}; returns false if a later term has begun or the thread is interrupted. */
     boolean append(List<KeyedRecord> records) {
         Append append = new Append(topic, records, new Append.Writer(WRITER, epoch, sequence));
         while (!Thread.currentThread().isInterrupted()) {
             ClockReading sent = Clocks.now();
-            switch (log.append(append, Clocks.in(TRY_MILLIS))) {
+            switch (log.append(append, Clocks.deadlineAfter(ATTEMPT_TIMEOUT_MILLIS))) {
                 case AppendOutcome.Appended appended -> {
-                    return confirm(sent);
+                    return recordConfirmation(sent);
                 }
                 case AppendOutcome.OutOfSequence other -> {
+                    // Expecting the next sequence number means that an earlier attempt was applied.
                     LOG.warnf("lead: epoch=%s sequence=%s expected=%s", epoch, sequence, other.expected());
-                    return other.expected() == sequence + 1 && confirm(sent);
+                    return other.expected() == sequence + 1 && recordConfirmation(sent);
                 }
                 case AppendOutcome.Deposed deposed -> {
                     return false;
@@ -65,21 +68,21 @@
                 case AppendOutcome.Unknown unknown ->
                     LOG.debugf("lead: sequence=%s outcome=unknown reason=%s", sequence, unknown.reason());
             }
-            if (!Clocks.sleep(PAUSE_MILLIS)) {
+            if (!Clocks.sleep(RETRY_DELAY_MILLIS)) {
                 return false;
             }
         }
         return false;
     }
 
-    private boolean confirm(ClockReading sent) {
+    private boolean recordConfirmation(ClockReading sent) {
         sequence++;
-        confirmed = sent;
+        lastConfirmed = sent;
         return true;
     }
 
-    /** Returns a moment at which this term was the newest for sure. */
-    ClockReading confirmed() {
-        return confirmed;
+    /** Returns the send time of the last append that the log confirmed; this term was the newest then. */
+    ClockReading lastConfirmed() {
+        return lastConfirmed;
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/Node.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Node.java
@@ -14,42 +14,44 @@
 import org.jboss.logging.Logger;
 
 /**
- * Everything that runs on one VM, but for the programs' interfaces to the outside.
+ * The scheduler of one VM, without its adapters to HTTP and the store.
  *
- * <p>Safe for use by several threads once started.
+ * <p>Thread-safe once started.
  */
 public final class Node {
     private static final Logger LOG = Logger.getLogger(Node.class);
 
-    /** How long a read of the jobs waits for news, in milliseconds. */
+    /** How long a read of the jobs topic waits for new records, in milliseconds. */
     private static final long JOBS_WAIT_MILLIS = 400;
 
-    /** Pause between two reads of the jobs on a node that does not lead, in milliseconds. */
-    private static final long JOBS_PAUSE_MILLIS = 100;
+    /** Delay between reads of the jobs topic on a node that does not lead, in milliseconds. */
+    private static final long JOBS_DELAY_MILLIS = 100;
 
-    /** How long a read of the operators' publications waits for news, in milliseconds. */
+    /** How long a read of the operators' topic waits for new records, in milliseconds. */
     private static final long OPERATORS_WAIT_MILLIS = 1_000;
 
-    private static final long RESIGN_MILLIS = 1_000;
-    private static final long ANNOUNCE_PAUSE_MILLIS = 300;
+    /** How long to wait for an announcement or a resignation to become durable, in milliseconds. */
+    private static final long DURABLE_TIMEOUT_MILLIS = 1_000;
+
+    private static final long ANNOUNCE_RETRY_DELAY_MILLIS = 300;
 
     private final Settings settings;
     private final FailoverLog log;
     private final Replica replica = new Replica();
-    private final TopicConsumer jobs;
-    private final TopicConsumer operatorFollower;
-    private final LeaderElection leadership;
+    private final TopicConsumer jobConsumer;
+    private final TopicConsumer operatorConsumer;
+    private final LeaderElection leaderElection;
     private final JobService jobService;
     private WireServer server;
 
     /**
-     * What a node is told at its start.
+     * The settings of a node.
      *
-     * @param name its name
-     * @param wire address of its wire protocol
+     * @param name name of the node
+     * @param wire address at which it serves the wire protocol to other nodes
      * @param seeds addresses of other nodes, which may be stale
-     * @param topics names of topics
-     * @param configurationMaxAgeMillis age up to which the operators' publications count as current, in milliseconds
+     * @param topics topics in the shared log
+     * @param configurationMaxAgeMillis age up to which the operators' configuration counts as current, in milliseconds
      */
     public record Settings(
             String name,
@@ -59,40 +61,40 @@
             long configurationMaxAgeMillis) {}
 
     /**
-     * How a node reaches the outside.
+     * The external systems that a node uses.
      *
      * @param log the shared log
-     * @param calls orders to targets
-     * @param operators decodes what operators publish
-     * @param targets decodes registrations of targets
+     * @param calls sends orders to targets
+     * @param operators decodes the operators' records
+     * @param targets decodes the registrations of targets
      */
     public record Ports(KeyedLog log, TargetCalls calls, OperatorCodec operators, TargetCodec targets) {}
 
-    /** Creates a node; {@link #start} starts it. */
+    /** Creates a node that is not yet started. */
     public Node(Settings settings, Ports ports, MetricRegistry metrics) {
         this.settings = settings;
-        log = new FailoverLog(ports.log(), new Peers(address(settings.wire()), this::others));
-        ConfigurationView operators = new ConfigurationView(ports.operators());
+        log = new FailoverLog(ports.log(), new Peers(address(settings.wire()), this::peerAddresses));
+        ConfigurationView configuration = new ConfigurationView(ports.operators());
         Term.Dependencies dependencies =
-                new Term.Dependencies(replica, operators, ports.calls(), settings.topics(), log, ports.targets());
-        jobs = new TopicConsumer(
+                new Term.Dependencies(replica, configuration, ports.calls(), settings.topics(), log, ports.targets());
+        jobConsumer = new TopicConsumer(
                 settings.topics().jobs(),
                 log,
-                new TopicConsumer.PollSettings(JOBS_WAIT_MILLIS, JOBS_PAUSE_MILLIS),
+                new TopicConsumer.PollSettings(JOBS_WAIT_MILLIS, JOBS_DELAY_MILLIS),
                 replica);
-        TopicConsumer.PollSettings operatorPace = new TopicConsumer.PollSettings(OPERATORS_WAIT_MILLIS, 0);
-        operatorFollower = new TopicConsumer(settings.topics().operators(), log, operatorPace, operators);
+        TopicConsumer.PollSettings operatorPollSettings = new TopicConsumer.PollSettings(OPERATORS_WAIT_MILLIS, 0);
+        operatorConsumer = new TopicConsumer(settings.topics().operators(), log, operatorPollSettings, configuration);
         SplittableRandom random = new SplittableRandom(System.nanoTime());
         LeaderRecord self = new LeaderRecord(settings.name(), System.currentTimeMillis(), false);
-        leadership = new LeaderElection(self, dependencies, jobs, random);
-        jobService = new JobService(dependencies, jobs, settings.configurationMaxAgeMillis(), metrics);
+        leaderElection = new LeaderElection(self, dependencies, jobConsumer, random);
+        jobService = new JobService(dependencies, jobConsumer, settings.configurationMaxAgeMillis(), metrics);
     }
 
     private static String address(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
-    private List<String> others() {
+    private List<String> peerAddresses() {
         List<String> addresses = new ArrayList<>();
         replica.nodes().forEach(node -> addresses.add(node.address()));
         addresses.addAll(settings.seeds().get());
@@ -100,24 +102,24 @@
     }
 
     /**
-     * Starts following and, if nobody else does, leading.
+     * Starts to consume the log, to serve peers, and to lead when there is no other leader.
      *
      * @throws IOException if the wire address cannot be bound
      */
     public void start() throws IOException {
         server = WireServer.start(settings.wire(), log);
-        operatorFollower.start();
-        jobs.start();
-        leadership.start();
+        operatorConsumer.start();
+        jobConsumer.start();
+        leaderElection.start();
         Thread.ofVirtual().name("announce").start(this::announce);
     }
 
-    /** Tells the other nodes where this one is. */
+    /** Publishes this node's address in the log; retries until that is durable. */
     private void announce() {
         NodeRecord record = new NodeRecord(settings.name(), address(settings.wire()));
-        Append append = new Append(settings.topics().jobs(), List.of(JobRecords.node(record)), new Append.Always());
-        while (!(log.append(append, Clocks.in(RESIGN_MILLIS)) instanceof AppendOutcome.Appended)) {
-            if (!Clocks.sleep(ANNOUNCE_PAUSE_MILLIS)) {
+        Append append = new Append(settings.topics().jobs(), List.of(JobRecords.encode(record)), new Append.Always());
+        while (!(log.append(append, Clocks.deadlineAfter(DURABLE_TIMEOUT_MILLIS)) instanceof AppendOutcome.Appended)) {
+            if (!Clocks.sleep(ANNOUNCE_RETRY_DELAY_MILLIS)) {
                 return;
             }
         }
@@ -125,28 +127,28 @@
     }
 
     /**
-     * Encodes and decodes the product's own records once, for a build that archives classes.
+     * Encodes and decodes each kind of record once, so that the build can archive the classes that this loads.
      *
-     * @throws IOException if they do not survive it
+     * @throws IOException if a record cannot be decoded
      */
     public static void warmUp() throws IOException {
         JobRecords.warmUp();
     }
 
-    /** Returns what answers callers. */
+    /** Returns the service for callers. */
     public JobService jobService() {
         return jobService;
     }
 
-    /** Hands the lead over, if it is here. Callers are still answered. */
+    /** Resigns if this node leads, and never leads again. Callers are still served. */
     public void resign() {
-        leadership.stop(RESIGN_MILLIS);
+        leaderElection.stop(DURABLE_TIMEOUT_MILLIS);
     }
 
-    /** Stops everything. */
+    /** Stops consuming the log and serving peers. */
     public void stop() throws IOException {
-        jobs.stop();
-        operatorFollower.stop();
+        jobConsumer.stop();
+        operatorConsumer.stop();
         server.close();
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/NodeRecord.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/NodeRecord.java
@@ -1,11 +1,11 @@
 package org.acaciaport.node;
 
 /**
- * Where a node can be reached by the others.
+ * The address at which other nodes can reach a node.
  *
  * <p>Immutable.
  *
- * @param name its name
- * @param address host and port of its wire protocol
+ * @param name name of the node
+ * @param address host and port at which it serves the wire protocol
  */
 public record NodeRecord(String name, String address) {}
--- a/acacia-node/src/main/java/org/acaciaport/node/OperatorCodec.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OperatorCodec.java
@@ -2,25 +2,25 @@
 
 import org.acaciaport.log.KeyedRecord;
 
-/** Decodes what operators publish. Safe for use by several threads. */
+/** Decodes the records that operators publish. Implementations are thread-safe. */
 public interface OperatorCodec {
     /** Decodes one record. */
     Entry decodePublished(KeyedRecord record);
 
-    /** What a record says. */
+    /** The content of a record. */
     sealed interface Entry {}
 
-    /** A publication in full. */
+    /** A version of the configuration. */
     record Published(OperatorConfiguration configuration) implements Entry {}
 
     /**
-     * A data centre is to take no new work, or may again.
+     * The start or end of the evacuation of a data centre, during which it gets no new work.
      *
-     * @param dataCentre its name
-     * @param requested whether it is to take none
+     * @param dataCentre name of the data centre
+     * @param requested whether the evacuation is in effect; false to end it
      */
     record Evacuation(String dataCentre, boolean requested) implements Entry {}
 
-    /** Nothing that this program uses. */
+    /** A record that this node does not use. */
     record Ignored(String reason) implements Entry {}
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/OperatorConfiguration.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OperatorConfiguration.java
@@ -7,15 +7,15 @@
 import org.acaciaport.pool.PoolSettings;
 
 /**
- * What operators have published: queues, client accounts and their keys.
+ * One version of the operators' configuration.
  *
  * <p>Immutable.
  *
- * @param version number of the publication
+ * @param version version number; increases with each publication
  * @param queues the queues
  * @param accountsByKey client account of each API key
- * @param guaranteedAccelerators guaranteed accelerators of each client account
- * @param services the services
+ * @param guaranteedAccelerators number of accelerators guaranteed to each client account
+ * @param services names of the services
  */
 public record OperatorConfiguration(
         long version,
@@ -32,14 +32,14 @@
     }
 
     /**
-     * One queue.
+     * A queue, which callers address by a URL prefix.
      *
      * @param name its name
      * @param host host of its URLs
-     * @param prefix beginning of the path of its URLs
+     * @param prefix prefix of the paths of its URLs
      * @param service the service whose targets run its tasks
-     * @param allowsAnonymous whether no key is needed
-     * @param terms how it treats its jobs
+     * @param allowsAnonymous whether callers need no API key
+     * @param terms priority, retry and objective settings of its jobs
      */
     public record Queue(
             String name, String host, String prefix, String service, boolean allowsAnonymous, Job.Terms terms) {}
@@ -57,6 +57,7 @@
         return best;
     }
 
+    /** Returns the settings of the pool, given the names of the evacuated data centres. */
     PoolSettings poolSettings(Set<String> evacuated) {
         return new PoolSettings(guaranteedAccelerators, evacuated, services);
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/OrphanDetector.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OrphanDetector.java
@@ -7,33 +7,40 @@
 import org.acaciaport.pool.ClockReading;
 
 /**
- * Judges work that a new leader finds on targets that are not registered, and so cannot be asked.
+ * Finds targets whose work is orphaned: a new leader's log shows runs on them, but they are not registered and so
+ * cannot be asked for a report.
  *
- * <p>Immutable. Such work counts as over once no lease that an earlier leader may have granted can run any more.
+ * <p>Immutable. Such runs have ended once every lease that an earlier leader may have granted has expired.
  */
 final class OrphanDetector {
-    private final long leasesOverNanos;
+    private final long earlierLeasesEndNanos;
 
     /**
-     * Creates a judge for one term.
+     * Creates a detector for one term.
      *
-     * @param leasesOverNanos when the leases of earlier leaders are over, on the steady clock, in nanoseconds
+     * @param earlierLeasesEndNanos when the leases of earlier leaders have expired, on the monotonic clock, in
+     *     nanoseconds
      */
-    OrphanDetector(long leasesOverNanos) {
-        this.leasesOverNanos = leasesOverNanos;
+    OrphanDetector(long earlierLeasesEndNanos) {
+        this.earlierLeasesEndNanos = earlierLeasesEndNanos;
     }
 
-    /** Returns the targets among {@code occupied} whose work is over. Those in {@code asked} are judged by reports. */
-    List<String> over(Collection<String> occupied, Set<String> asked, ClockReading now) {
-        List<String> over = new ArrayList<>();
-        if (now.monotonicNanos() - leasesOverNanos < 0) {
-            return over;
+    /**
+     * Returns the targets whose runs have ended because their leases have expired.
+     *
+     * @param occupied targets that may have runs
+     * @param polled targets with a session, whose reports decide instead
+     */
+    List<String> findExpired(Collection<String> occupied, Set<String> polled, ClockReading now) {
+        List<String> expired = new ArrayList<>();
+        if (now.monotonicNanos() - earlierLeasesEndNanos < 0) {
+            return expired;
         }
         for (String id : occupied) {
-            if (!asked.contains(id)) {
-                over.add(id);
+            if (!polled.contains(id)) {
+                expired.add(id);
             }
         }
-        return over;
+        return expired;
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/Peers.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Peers.java
@@ -13,34 +13,37 @@
 import org.acaciaport.wire.WireException;
 
 /**
- * The other nodes, asked in turn.
+ * The other nodes as relays to the log.
  *
- * <p>Safe for use by several threads. The one that answered last is asked first, those that failed last come last, so
- * that every peer has its turn.
+ * <p>Thread-safe. The peer that answered last is preferred; the others are ordered by their latest failure, longest ago
+ * first, so that each is tried eventually.
  */
 final class Peers {
-    /** Most peers that one call is sent to. */
-    private static final int MOST_TRIES = 3;
+    /** Largest number of peers that one call is sent to. */
+    private static final int MAX_CANDIDATES = 3;
 
     private final String self;
     private final Supplier<List<String>> addresses;
     private final Map<String, WireClient> clients = new ConcurrentHashMap<>();
-    private final Map<String, Long> failures = new ConcurrentHashMap<>();
+
+    /** Sequence number of the latest failure of each address that failed. */
+    private final Map<String, Long> lastFailures = new ConcurrentHashMap<>();
+
     private final AtomicLong failureCount = new AtomicLong();
     private volatile String preferred = "";
 
     /**
-     * Creates the list.
+     * Creates the set of peers.
      *
-     * @param self this node's own address, which is never asked
-     * @param addresses where the others may be
+     * @param self this node's own address, which is left out
+     * @param addresses supplies the addresses of the other nodes, which may be stale
      */
     Peers(String self, Supplier<List<String>> addresses) {
         this.self = self;
         this.addresses = addresses;
     }
 
-    /** Returns the addresses to try, the best first. */
+    /** Returns the addresses to try, in order. */
     List<String> candidates() {
         List<String> order = new ArrayList<>();
         for (String address : addresses.get()) {
@@ -50,25 +53,25 @@
         }
         String first = preferred;
         order.sort(Comparator.comparing((String address) -> !address.equals(first))
-                .thenComparing(address -> failures.getOrDefault(address, 0L)));
-        return order.subList(0, Math.min(MOST_TRIES, order.size()));
+                .thenComparing(address -> lastFailures.getOrDefault(address, 0L)));
+        return order.subList(0, Math.min(MAX_CANDIDATES, order.size()));
     }
 
     /**
-     * Asks one peer.
+     * Sends a message to one peer and returns its reply.
      *
      * @throws WireException if no reply came in time
      */
-    Message ask(String address, Message query, long millis) throws WireException {
+    Message ask(String address, Message query, long timeoutMillis) throws WireException {
         WireClient client = clients.computeIfAbsent(address, Peers::connect);
-        Message reply = client.call(query, millis);
+        Message reply = client.call(query, timeoutMillis);
         preferred = address;
         return reply;
     }
 
-    /** Asks the other peers first from now on. */
-    void demote(String address) {
-        failures.put(address, failureCount.incrementAndGet());
+    /** Records that a peer did not relay a call, so that the others are tried before it. */
+    void recordFailure(String address) {
+        lastFailures.put(address, failureCount.incrementAndGet());
         if (address.equals(preferred)) {
             preferred = "";
         }
--- a/acacia-node/src/main/java/org/acaciaport/node/RegistrationTracker.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/RegistrationTracker.java
@@ -6,15 +6,17 @@
 import org.acaciaport.pool.ClockReading;
 
 /**
- * Hands registrations of targets to a term.
+ * Reports the registration and unregistration of targets to a term.
  *
- * <p>Used under its follower's lock. Targets that a re-read from the start no longer shows count as unregistered.
+ * <p>Guarded by the lock of its consumer. Targets that a new snapshot no longer contains count as unregistered.
  */
 final class RegistrationTracker implements TopicConsumer.Sink {
     private final TargetCodec codec;
     private final Term term;
-    private final Set<String> known = new HashSet<>();
-    private final Set<String> unseen = new HashSet<>();
+    private final Set<String> registered = new HashSet<>();
+
+    /** Targets registered before a reset that the snapshot has not yet confirmed. */
+    private final Set<String> unconfirmed = new HashSet<>();
 
     RegistrationTracker(TargetCodec codec, Term term) {
         this.codec = codec;
@@ -23,34 +25,34 @@
 
     @Override
     public void reset() {
-        unseen.addAll(known);
+        unconfirmed.addAll(registered);
     }
 
     @Override
     public void apply(KeyedRecord record, long offset) {
         codec.targetId(record).ifPresent(id -> {
             if (record.value().length == 0) {
-                drop(id);
+                unregister(id);
                 return;
             }
             codec.decodeTarget(record).ifPresent(info -> {
-                unseen.remove(id);
-                known.add(id);
+                unconfirmed.remove(id);
+                registered.add(id);
                 term.register(info);
             });
         });
     }
 
     @Override
-    public void caughtUp(ClockReading asOf, long next) {
-        Set<String> gone = Set.copyOf(unseen);
-        unseen.clear();
-        gone.forEach(this::drop);
+    public void caughtUp(ClockReading asOf, long nextOffset) {
+        Set<String> missing = Set.copyOf(unconfirmed);
+        unconfirmed.clear();
+        missing.forEach(this::unregister);
     }
 
-    private void drop(String id) {
-        unseen.remove(id);
-        if (known.remove(id)) {
+    private void unregister(String id) {
+        unconfirmed.remove(id);
+        if (registered.remove(id)) {
             term.unregister(id);
         }
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/Replica.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Replica.java
@@ -15,36 +15,36 @@
 import org.jboss.logging.Logger;
 
 /**
- * This node's copy of the product's own records.
+ * This node's copy of the scheduler's own records in the log: jobs, nodes and the leader.
  *
- * <p>Safe for use by several threads. {@code asOf} is a moment at which the copy was complete, null after a reset.
+ * <p>Thread-safe.
  */
 final class Replica implements TopicConsumer.Sink {
     private static final Logger LOG = Logger.getLogger(Replica.class);
 
-    /** Takes jobs and cancellings as they arrive. Called under the replica's lock; must not block. */
+    /** Receives jobs and cancellations as they arrive, under the replica's lock. Implementations must not block. */
     interface Listener {
-        /** Takes a job that was not there before. */
+        /** Called with each job that the replica did not have. */
         void submitted(Job job);
 
-        /** Takes a cancelling. */
+        /** Called with each cancellation. */
         void cancelled(CancelRecord cancel);
     }
 
     /**
-     * The leader's newest record.
+     * The latest leader record.
      *
-     * @param record what it says
-     * @param heardNanos when it arrived here, on the steady clock, in nanoseconds
+     * @param record the record
+     * @param receivedNanos when it was received, on the monotonic clock, in nanoseconds
      */
-    record Leader(LeaderRecord record, long heardNanos) {}
+    record Leader(LeaderRecord record, long receivedNanos) {}
 
     private final Map<String, JobEntry> jobs = new LinkedHashMap<>();
     private final Map<String, NodeRecord> nodes = new HashMap<>();
     private Leader leader;
     private Listener listener;
     private ClockReading asOf;
-    private long next;
+    private long nextOffset;
 
     @Override
     public synchronized void reset() {
@@ -57,37 +57,38 @@
     @Override
     public synchronized void apply(KeyedRecord record, long offset) {
         try {
-            take(record);
+            applyRecord(record);
         } catch (IOException e) {
             LOG.errorf("log: key=%s offset=%s outcome=skipped reason=%s", record.key(), offset, e.getMessage());
         }
-        next = offset + 1;
+        nextOffset = offset + 1;
     }
 
     @Override
     public synchronized void caughtUp(ClockReading moment, long end) {
         asOf = moment;
-        next = end;
+        nextOffset = end;
     }
 
-    private void take(KeyedRecord record) throws IOException {
+    private void applyRecord(KeyedRecord record) throws IOException {
         String key = record.key();
-        if (key.startsWith(JobRecords.JOB)) {
-            job(key.substring(JobRecords.JOB.length()), read(record, Job.class));
-        } else if (key.startsWith(JobRecords.PROGRESS)) {
-            String id = key.substring(JobRecords.PROGRESS.length());
-            update(id, entry(id).with(read(record, JobProgress.class)));
-        } else if (key.startsWith(JobRecords.CANCEL)) {
-            cancel(key.substring(JobRecords.CANCEL.length()), read(record, CancelRecord.class));
-        } else if (key.startsWith(JobRecords.NODE) && !gone(record)) {
-            NodeRecord node = JobRecords.read(record, NodeRecord.class);
+        if (key.startsWith(JobRecords.JOB_PREFIX)) {
+            applyJob(key.substring(JobRecords.JOB_PREFIX.length()), decode(record, Job.class));
+        } else if (key.startsWith(JobRecords.PROGRESS_PREFIX)) {
+            String id = key.substring(JobRecords.PROGRESS_PREFIX.length());
+            update(id, entry(id).with(decode(record, JobProgress.class)));
+        } else if (key.startsWith(JobRecords.CANCEL_PREFIX)) {
+            applyCancel(key.substring(JobRecords.CANCEL_PREFIX.length()), decode(record, CancelRecord.class));
+        } else if (key.startsWith(JobRecords.NODE_PREFIX) && !isTombstone(record)) {
+            NodeRecord node = JobRecords.decode(record, NodeRecord.class);
             nodes.put(node.name(), node);
-        } else if (key.equals(JobRecords.LEADER) && !gone(record)) {
-            leader = new Leader(JobRecords.read(record, LeaderRecord.class), System.nanoTime());
+        } else if (key.equals(JobRecords.LEADER_KEY) && !isTombstone(record)) {
+            leader = new Leader(JobRecords.decode(record, LeaderRecord.class), System.nanoTime());
         }
     }
 
-    private void job(String id, Job job) {
+    /** Adds or, for null, removes a job. A repeated submission leaves the first in place. */
+    private void applyJob(String id, Job job) {
         JobEntry entry = entry(id);
         if (job != null && entry.job() != null) {
             return;
@@ -98,19 +99,20 @@
         }
     }
 
-    private void cancel(String id, CancelRecord cancel) {
+    private void applyCancel(String id, CancelRecord cancel) {
         update(id, entry(id).with(cancel));
         if (cancel != null && listener != null) {
             listener.cancelled(cancel);
         }
     }
 
-    /** Returns what the record says, or null if it drops its key. */
-    private static <T> T read(KeyedRecord record, Class<T> type) throws IOException {
-        return gone(record) ? null : JobRecords.read(record, type);
+    /** Returns the decoded value, or null for a tombstone. */
+    private static <T> T decode(KeyedRecord record, Class<T> type) throws IOException {
+        return isTombstone(record) ? null : JobRecords.decode(record, type);
     }
 
-    private static boolean gone(KeyedRecord record) {
+    /** Returns whether a record deletes its key. */
+    private static boolean isTombstone(KeyedRecord record) {
         return record.value().length == 0;
     }
 
@@ -126,24 +128,25 @@
         }
     }
 
-    /** Returns what the log says of a job, or null if the copy has no such job. */
+    /** Returns a job with its progress and cancellation, or null if the replica has no such job. */
     synchronized JobEntry find(String id) {
         JobEntry entry = jobs.get(id);
         return entry == null || entry.job() == null ? null : entry;
     }
 
-    /** Returns a moment at which the copy was complete, or null if it never was. */
+    /** Returns the latest moment at which the replica is known to have been complete; null after a reset. */
     synchronized ClockReading asOf() {
         return asOf;
     }
 
+    /** Returns the latest leader record, or null if there is none. */
     synchronized Leader leader() {
         return leader;
     }
 
-    /** Returns the offset of the next record. */
-    synchronized long next() {
-        return next;
+    /** Returns the offset of the next record of the log. */
+    synchronized long nextOffset() {
+        return nextOffset;
     }
 
     synchronized Collection<NodeRecord> nodes() {
@@ -161,12 +164,13 @@
         return pending;
     }
 
-    /** Returns all jobs, and hands every later record to {@code listener}. */
+    /** Returns all jobs, and passes every later job and cancellation to {@code listener}. */
     synchronized List<JobEntry> attach(Listener listener) {
         this.listener = listener;
         return new ArrayList<>(jobs.values());
     }
 
+    /** Removes the listener. */
     synchronized void detach() {
         listener = null;
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetCalls.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetCalls.java
@@ -4,54 +4,54 @@
 import org.acaciaport.pool.TargetReport;
 import org.acaciaport.pool.TaskId;
 
-/** Sends orders to targets. Safe for use by several threads; calls block until their time is up at the latest. */
+/** Sends orders to targets. Implementations are thread-safe; calls block no longer than their timeout. */
 public interface TargetCalls {
     /**
-     * The target that is meant.
+     * The target to call.
      *
-     * @param id its name; another target at the address does nothing
+     * @param id name of the target; another target at the address rejects the call
      * @param address host and port
      */
     record Endpoint(String id, String address) {}
 
     /**
-     * An order to start a run.
+     * A request to start a run of a task.
      *
      * @param task the task
      * @param run number of the start
-     * @param payload text for the task
-     * @param checkpoint checkpoint to go on from; empty for none
-     * @param leaseEndMillis end of the lease, on the target's clock, in milliseconds
+     * @param payload input of the task
+     * @param checkpoint checkpoint to resume from; empty for none
+     * @param leaseEndMillis end of the requested lease, on the target's clock, in milliseconds
      * @param fence fencing token
      */
     record StartRequest(TaskId task, int run, String payload, String checkpoint, long leaseEndMillis, long fence) {}
 
     /**
-     * Asks for a report, and renews the lease.
+     * A request for a report, which also renews the lease.
      *
      * @param fence fencing token
-     * @param acknowledged number of the last end that need not be listed again
-     * @param leaseEndMillis end of the lease, on the target's clock, in milliseconds; empty to leave it
-     * @param waitMillis how long to wait for an end, in milliseconds
+     * @param acknowledged number of the last end that need not be reported again
+     * @param leaseEndMillis end of the requested lease, on the target's clock, in milliseconds; empty to not renew it
+     * @param waitMillis how long the target may hold back the report until a run ends, in milliseconds
      */
     record ReportRequest(long fence, long acknowledged, OptionalLong leaseEndMillis, long waitMillis) {}
 
-    /** Starts a run; waits up to {@code timeoutMillis} milliseconds. */
+    /** Starts a run. */
     OrderReply start(Endpoint target, StartRequest call, long timeoutMillis);
 
-    /** Stops a run, and bars it if it has not begun; waits up to {@code timeoutMillis} milliseconds. */
+    /** Stops a run; if it has not started, the target rejects a later start of it. */
     OrderReply stop(Endpoint target, TaskId task, int run, long fence, long timeoutMillis);
 
-    /** Asks for a report; waits up to {@code timeoutMillis} milliseconds. */
+    /** Requests a report. */
     ReportReply report(Endpoint target, ReportRequest call, long timeoutMillis);
 
-    /** What came back for an order. */
+    /** The reply to an order. */
     sealed interface OrderReply {}
 
-    /** What came back when a report was asked for. */
+    /** The reply to a request for a report. */
     sealed interface ReportReply {}
 
-    /** What came back instead, for an order as for a report. */
+    /** A failed order or request. */
     sealed interface Failure extends OrderReply, ReportReply {}
 
     /**
@@ -65,40 +65,40 @@
      * A report.
      *
      * @param clockMillis reading of the target's clock
-     * @param report what runs and what ended
+     * @param report the runs that exist and those that ended
      */
     record Reported(long clockMillis, TargetReport report) implements ReportReply {}
 
     /**
-     * The order was not carried out and will not be.
+     * The request was refused, and will not be carried out later.
      *
      * @param reason why the target refused
-     * @param clockMillis reading of the target's clock, if it said so
+     * @param clockMillis reading of the target's clock, if the refusal has one
      */
     record Refused(RefusalReason reason, OptionalLong clockMillis) implements Failure {}
 
     /**
-     * The order may have been carried out, or may be later.
+     * There was no answer: the request may have been carried out, or may still be.
      *
-     * @param reason what is known
+     * @param reason description of the failure
      */
     record NoAnswer(String reason) implements Failure {}
 
-    /** Why a target refuses. */
+    /** The reason why a target refused a request. */
     enum RefusalReason {
-        /** It has seen a higher fencing token. */
+        /** The target has seen a higher fencing token. */
         FENCE,
-        /** It has seen an end of this run or a later one. */
+        /** The target has seen the end of this run or of a later one. */
         OLD_RUN,
-        /** The lease asked for is over already. */
+        /** The requested lease has already ended. */
         LATE,
-        /** There is no room. */
+        /** The target has too few free resources. */
         ROOM,
-        /** It does not know the task. */
+        /** The target does not know the task. */
         UNKNOWN_TASK,
-        /** It is unhealthy or busy. */
+        /** The target is unhealthy or overloaded. */
         UNHEALTHY,
-        /** Another target lives at the address now. */
+        /** The address now belongs to another target. */
         OTHER_TARGET
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetCodec.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetCodec.java
@@ -4,11 +4,11 @@
 import org.acaciaport.log.KeyedRecord;
 import org.acaciaport.pool.TargetInfo;
 
-/** Decodes registrations of targets. Safe for use by several threads. */
+/** Decodes the registrations of targets. Implementations are thread-safe. */
 public interface TargetCodec {
-    /** Returns the id of the target that a record is about, or empty if it is about something else. */
+    /** Returns the id of the target that a record refers to, or empty if it refers to none. */
     Optional<String> targetId(KeyedRecord record);
 
-    /** Decodes a registration; empty if it names no usable target. */
+    /** Decodes a registration; empty if it is malformed. */
     Optional<TargetInfo> decodeTarget(KeyedRecord record);
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetLease.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetLease.java
@@ -4,89 +4,100 @@
 import org.acaciaport.pool.ClockReading;
 
 /**
- * What one target may have been granted as lease, on the target's own clock.
+ * The latest lease that one target may hold, on the target's own clock.
  *
- * <p>Not safe for use by several threads; its session guards it. Invariant: no lease that may have been granted, by
- * this leader or an earlier one, ends later than {@code grantedMillis} or, before the first report, than
- * {@code inheritedNanos}.
+ * <p>Not thread-safe; guarded by the lock of its session. Invariant: no lease that this leader or an earlier one may
+ * have granted ends later than {@code grantedEndMillis} or, before the first report, than {@code
+ * earlierLeasesEndNanos}.
  */
 final class TargetLease {
     /** Longest lease that a target grants, in milliseconds. */
     private static final long LEASE_MILLIS = 6_000;
 
-    /** A target's clock may be this much slower than ours. */
-    private static final double SLOWEST_CLOCK = 0.98;
+    /** Lower bound of the rate of a target's clock relative to this node's. */
+    private static final double MIN_CLOCK_RATE = 0.98;
 
-    private static final long LAPSE_SLACK_MILLIS = 150;
+    /** Margin added to the end of a lease before it counts as expired, in milliseconds. */
+    private static final long EXPIRY_MARGIN_MILLIS = 150;
 
-    /** When leases that an earlier leader may have granted are over, on the steady clock; 0 once a report has come. */
-    private long inheritedNanos;
+    /** When leases of earlier leaders have expired, on this node's monotonic clock; 0 after the first report. */
+    private long earlierLeasesEndNanos;
 
-    private boolean known;
+    private boolean clockKnown;
+
+    /** Last reading of the target's clock, in milliseconds. */
     private long clockMillis;
 
-    /** When {@code clockMillis} was read, on our steady clock, in nanoseconds. */
+    /** When {@code clockMillis} was received, on this node's monotonic clock, in nanoseconds. */
     private long clockNanos;
 
-    private long grantedMillis;
+    /** Latest end of a lease that may have been granted, on the target's clock, in milliseconds. */
+    private long grantedEndMillis;
 
-    TargetLease(long inheritedNanos) {
-        this.inheritedNanos = inheritedNanos;
+    TargetLease(long earlierLeasesEndNanos) {
+        this.earlierLeasesEndNanos = earlierLeasesEndNanos;
     }
 
-    /** Returns the steady reading by which leases of an earlier leader are over. */
-    static long inherited(ClockReading now, long earlierLeaderMillis) {
-        long lease = (long) (LEASE_MILLIS / SLOWEST_CLOCK) + LAPSE_SLACK_MILLIS;
-        return now.nanosAfter(earlierLeaderMillis + lease);
+    /**
+     * Returns when every lease of earlier leaders has expired, on this node's monotonic clock, in nanoseconds.
+     *
+     * @param maxRenewalMillis longest time for which an earlier leader may still grant leases, in milliseconds
+     */
+    static long earlierLeasesEndNanos(ClockReading now, long maxRenewalMillis) {
+        long lease = (long) (LEASE_MILLIS / MIN_CLOCK_RATE) + EXPIRY_MARGIN_MILLIS;
+        return now.nanosAfter(maxRenewalMillis + lease);
     }
 
     /** Returns whether the target's clock is known. */
-    boolean known() {
-        return known;
+    boolean isClockKnown() {
+        return clockKnown;
     }
 
-    /** Forgets everything: the target has started anew. */
+    /** Discards the state of the previous incarnation of the target. */
     void reset() {
-        known = false;
-        grantedMillis = 0;
+        clockKnown = false;
+        grantedEndMillis = 0;
     }
 
-    /** Takes a reading of the target's clock. */
-    void clock(long millis) {
+    /** Records a reading of the target's clock. */
+    void recordClock(long millis) {
         clockMillis = millis;
         clockNanos = System.nanoTime();
-        known = true;
+        clockKnown = true;
     }
 
-    /** Takes the clock of a report, after which no earlier leader can renew any more. */
-    void reported(long millis) {
-        clock(millis);
-        if (inheritedNanos != 0) {
-            grantedMillis = Math.max(grantedMillis, millis + LEASE_MILLIS);
-            inheritedNanos = 0;
+    /**
+     * Records the target's clock from a report. The report carries this term's fencing token, so earlier leaders can no
+     * longer grant leases.
+     */
+    void recordReport(long millis) {
+        recordClock(millis);
+        if (earlierLeasesEndNanos != 0) {
+            grantedEndMillis = Math.max(grantedEndMillis, millis + LEASE_MILLIS);
+            earlierLeasesEndNanos = 0;
         }
     }
 
-    /** Returns the end of the longest lease to ask for, which then may be granted; empty while the clock is unknown. */
-    OptionalLong extend() {
-        if (!known) {
+    /** Returns the end of the lease to request next, and counts it as granted; empty while the clock is unknown. */
+    OptionalLong nextLeaseEndMillis() {
+        if (!clockKnown) {
             return OptionalLong.empty();
         }
-        long until = clockMillis + (System.nanoTime() - clockNanos) / Clocks.NANOS_PER_MILLI + LEASE_MILLIS;
-        grantedMillis = Math.max(grantedMillis, until);
-        return OptionalLong.of(until);
+        long endMillis = clockMillis + (System.nanoTime() - clockNanos) / Clocks.NANOS_PER_MILLI + LEASE_MILLIS;
+        grantedEndMillis = Math.max(grantedEndMillis, endMillis);
+        return OptionalLong.of(endMillis);
     }
 
-    /** Returns whether every lease that may have been granted is over, however slow the target's clock. */
-    boolean over() {
+    /** Returns whether every lease that may have been granted has expired, even if the target's clock is slow. */
+    boolean isExpired() {
         long now = System.nanoTime();
-        if (inheritedNanos != 0) {
-            return now > inheritedNanos;
+        if (earlierLeasesEndNanos != 0) {
+            return now > earlierLeasesEndNanos;
         }
-        if (!known) {
+        if (!clockKnown) {
             return false;
         }
-        double least = clockMillis + SLOWEST_CLOCK * (now - clockNanos) / Clocks.NANOS_PER_MILLI;
-        return least > grantedMillis + LAPSE_SLACK_MILLIS;
+        double earliestMillis = clockMillis + MIN_CLOCK_RATE * (now - clockNanos) / Clocks.NANOS_PER_MILLI;
+        return earliestMillis > grantedEndMillis + EXPIRY_MARGIN_MILLIS;
     }
 }
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
@@ -8,113 +8,144 @@
 import org.jboss.logging.Logger;
 
 /**
- * The leader's dealings with one target: renews its lease, sends it orders, and learns what became of them.
+ * The leader's session with one target: renews its lease, sends it orders, and determines their outcomes.
  *
- * <p>Safe for use by several threads. Invariants: an order is sent only with this term's fence; after an order without
- * an answer the fence is raised before its outcome is judged, so that a delayed copy of it does nothing; nothing counts
- * as lapsed before the last lease that may have been granted is over on the target's own clock; a target that does not
- * answer is not asked to extend its lease, so that it lapses in the end.
+ * <p>Thread-safe. Invariants:
+ *
+ * <ul>
+ *   <li>Every order carries a fencing token of this term.
+ *   <li>After a start order without an answer, the fencing token is incremented before its outcome is determined from a
+ *       report, so that the target rejects a delayed copy of the order.
+ *   <li>The lease counts as expired only after the latest lease that may have been granted has ended on the target's
+ *       own clock.
+ *   <li>The lease of a target that does not answer is not renewed, so that it expires eventually.
+ * </ul>
  */
 final class TargetSession {
     private static final Logger LOG = Logger.getLogger(TargetSession.class);
 
-    /** How long a report waits for an end, in milliseconds. */
+    /** How long a target holds back a report until a run ends (long polling), in milliseconds. */
     private static final long REPORT_WAIT_MILLIS = 500;
 
-    /** Longest wait for the answer to a report beyond the wait that was asked for, in milliseconds. */
-    private static final long REPORT_ANSWER_MILLIS = 600;
+    /** Timeout of a report beyond the time for which the target may hold it back, in milliseconds. */
+    private static final long REPORT_TIMEOUT_MARGIN_MILLIS = 600;
 
-    /** Longest wait for the answer to an order, in milliseconds; what became of it is then asked for. */
-    private static final long ORDER_ANSWER_MILLIS = 300;
+    /** Timeout of an order, in milliseconds; after it, the outcome is determined from a report. */
+    private static final long ORDER_TIMEOUT_MILLIS = 300;
 
-    /** How long to wait for the end just listed to become durable, in milliseconds. */
-    private static final long DURABLE_MILLIS = 200;
+    /** How long to wait until the ends just reported are durable before the next report, in milliseconds. */
+    private static final long DURABLE_WAIT_MILLIS = 200;
 
+    /**
+     * Pause after a failed report or while the term is not confirmed, and how long a target without room gets no new
+     * work, in milliseconds.
+     */
     private static final long PAUSE_MILLIS = 80;
 
-    /** Time in which a target without an answer gets no new work, in milliseconds. */
+    /** How long a target that did not answer gets no new work, in milliseconds. */
     private static final long AVOID_MILLIS = 700;
 
-    /** Age after which an order that did not arrive is given up rather than sent again, in milliseconds. */
-    private static final long RESEND_MILLIS = 1_500;
+    /** Age from which a start order that had no effect is abandoned rather than sent again, in milliseconds. */
+    private static final long RESEND_LIMIT_MILLIS = 1_500;
 
-    /** What a session tells its leader. Called by the session's threads; must not block. */
+    /** Receives the events of a session, on the session's threads. Implementations must not block. */
     interface Events {
-        /** Takes a report. */
+        /** Called with unanswered report of the current or a new incarnation of the target. */
         void reported(TargetReport report);
 
-        /** A start was confirmed. */
+        /** Called when the target has confirmed a start. */
         void started(TargetCommand.Start start);
 
-        /** A start did not happen and never will. */
+        /**
+         * Called when a start has not happened and cannot happen any more.
+         *
+         * @param avoidMillis how long the target should get no new work, in milliseconds
+         */
         void notStarted(TargetCommand.Start start, String reason, long avoidMillis);
 
-        /** The target does not answer. */
-        void silent(String target, long avoidMillis);
+        /** Called when the target did not answer; it should get no new work for {@code avoidMillis} milliseconds. */
+        void unresponsive(String target, long avoidMillis);
 
-        /** Nothing that was sent to the target runs any more. */
-        void lapsed(String target);
+        /** Called when the lease has expired, so that no run is left on the target. */
+        void leaseExpired(String target);
 
-        /** The target has seen a later leader. */
+        /** Called when the target has seen the fencing token of a later leader. */
         void deposed(String target);
 
-        /** Returns whether the lead is sure enough to order and to renew. */
-        boolean leads();
+        /** Returns whether the term was confirmed recently enough to send orders and renew leases. */
+        boolean isLeading();
     }
 
-    /** A start without an answer. */
-    private record Uncertain(TargetCommand.Start start, long fence, long sentNanos) {}
+    /**
+     * A start order whose outcome is unknown.
+     *
+     * @param start the order
+     * @param fence fencing token that it was sent with
+     * @param sentNanos when it was first sent, on the monotonic clock, in nanoseconds
+     */
+    private record UnansweredStart(TargetCommand.Start start, long fence, long sentNanos) {}
 
     private final String id;
     private final TargetCalls calls;
     private final Events events;
-    private final long firstFence;
-    private final List<Uncertain> uncertain = new ArrayList<>();
-    private TargetCalls.Endpoint address;
-    private long raised;
+    private final long baseFence;
+    private final List<UnansweredStart> unansweredStarts = new ArrayList<>();
+    private TargetCalls.Endpoint endpoint;
+    private long fenceIncrements;
+
+    /** Confirmed incarnation of the target; 0 until a report confirms it. */
     private long incarnation;
-    private long acknowledged;
-    private long listed;
+
+    /** Number of the last end that is durable and need not be reported again. */
+    private long lastAcknowledgedEnd;
+
+    /** Number of the last end that was reported. */
+    private long lastReportedEnd;
+
     private final TargetLease lease;
-    private boolean needed;
+    private boolean occupied;
     private boolean closed;
-    private boolean silent;
+    private boolean unresponsive;
     private Thread thread;
 
     TargetSession(
-            TargetCalls.Endpoint address, TargetCalls calls, Events events, long firstFence, long inheritedNanos) {
-        this.id = address.id();
-        this.address = address;
+            TargetCalls.Endpoint endpoint,
+            TargetCalls calls,
+            Events events,
+            long baseFence,
+            long earlierLeasesEndNanos) {
+        this.id = endpoint.id();
+        this.endpoint = endpoint;
         this.calls = calls;
         this.events = events;
-        this.firstFence = firstFence;
-        lease = new TargetLease(inheritedNanos);
+        this.baseFence = baseFence;
+        lease = new TargetLease(earlierLeasesEndNanos);
     }
 
-    synchronized void address(TargetCalls.Endpoint changed) {
-        address = changed;
+    synchronized void setEndpoint(TargetCalls.Endpoint changed) {
+        endpoint = changed;
     }
 
-    /** Asks for reports while something may run there; a target that is not verified yet is asked at least once. */
-    synchronized void need(boolean occupied) {
-        needed = occupied;
-        if (hasQuestions() && thread == null && !closed) {
+    /** Sets whether the target may have runs, and starts polling it for reports if needed. */
+    synchronized void setOccupied(boolean occupied) {
+        this.occupied = occupied;
+        if (needsReport() && thread == null && !closed) {
             thread = Thread.ofVirtual().name("target-" + id).start(this::run);
         }
     }
 
-    /** Returns whether there is something to learn from the target. */
-    private boolean hasQuestions() {
-        return needed || incarnation == 0 || listed > acknowledged || !uncertain.isEmpty();
+    /** Returns whether a report is needed: for runs, the incarnation, unacknowledged ends or unanswered starts. */
+    private boolean needsReport() {
+        return occupied || incarnation == 0 || lastReportedEnd > lastAcknowledgedEnd || !unansweredStarts.isEmpty();
     }
 
-    /** The target announced a later life; it is asked before it gets work. */
-    synchronized void verify(long announced) {
-        if (announced > incarnation && incarnation != 0) {
-            raised++;
+    /** Handles a registration; a new incarnation is confirmed by a report before it gets work. */
+    synchronized void announceIncarnation(long announcedIncarnation) {
+        if (announcedIncarnation > incarnation && incarnation != 0) {
+            fenceIncrements++;
             incarnation = 0;
         }
-        need(needed);
+        setOccupied(occupied);
     }
 
     synchronized void close() {
@@ -122,21 +153,21 @@
         notifyAll();
     }
 
-    /** Ends up to {@code upTo} are durable. */
-    synchronized void acknowledge(long life, long upTo) {
-        if (life == incarnation && upTo > acknowledged) {
-            acknowledged = upTo;
+    /** Records that the ends of incarnation {@code ofIncarnation} up to number {@code upTo} are durable. */
+    synchronized void acknowledge(long ofIncarnation, long upTo) {
+        if (ofIncarnation == incarnation && upTo > lastAcknowledgedEnd) {
+            lastAcknowledgedEnd = upTo;
             notifyAll();
-            need(needed);
+            setOccupied(occupied);
         }
     }
 
     private synchronized long fence() {
-        return firstFence + raised;
+        return baseFence + fenceIncrements;
     }
 
-    private synchronized boolean goOn() {
-        if (closed || !hasQuestions()) {
+    private synchronized boolean shouldContinue() {
+        if (closed || !needsReport()) {
             thread = null;
             return false;
         }
@@ -144,26 +175,32 @@
     }
 
     private void run() {
-        while (goOn()) {
-            if (!events.leads()) {
+        while (shouldContinue()) {
+            if (!events.isLeading()) {
                 Clocks.sleep(PAUSE_MILLIS);
                 continue;
             }
-            if (!reportOnce(waitMillis()) && !Clocks.sleep(PAUSE_MILLIS)) {
+            if (!pollReport(waitMillis()) && !Clocks.sleep(PAUSE_MILLIS)) {
                 return;
             }
             awaitDurable();
         }
     }
 
+    /** Returns how long the target may hold back the next report; 0 while there is something to resolve. */
     private synchronized long waitMillis() {
-        boolean settled = lease.known() && uncertain.isEmpty() && listed <= acknowledged && needed && !silent;
-        return settled ? REPORT_WAIT_MILLIS : 0;
+        boolean idle = lease.isClockKnown()
+                && unansweredStarts.isEmpty()
+                && lastReportedEnd <= lastAcknowledgedEnd
+                && occupied
+                && !unresponsive;
+        return idle ? REPORT_WAIT_MILLIS : 0;
     }
 
+    /** Waits until the reported ends are acknowledged, or a limit, so that the next report does not repeat them. */
     private synchronized void awaitDurable() {
-        long deadline = Clocks.in(DURABLE_MILLIS);
-        while (listed > acknowledged && !closed && Clocks.millisUntil(deadline) > 0) {
+        long deadline = Clocks.deadlineAfter(DURABLE_WAIT_MILLIS);
+        while (lastReportedEnd > lastAcknowledgedEnd && !closed && Clocks.millisUntil(deadline) > 0) {
             try {
                 wait(Math.max(1, Clocks.millisUntil(deadline)));
             } catch (InterruptedException e) {
@@ -173,157 +210,160 @@
         }
     }
 
-    private boolean reportOnce(long waitMillis) {
+    /** Requests one report; returns whether it was received. */
+    private boolean pollReport(long waitMillis) {
         long fence = fence();
         TargetCalls.ReportRequest call;
-        TargetCalls.Endpoint to;
+        TargetCalls.Endpoint target;
         synchronized (this) {
-            OptionalLong until = silent ? OptionalLong.empty() : lease.extend();
-            call = new TargetCalls.ReportRequest(fence, acknowledged, until, waitMillis);
-            to = address;
+            OptionalLong leaseEnd = unresponsive ? OptionalLong.empty() : lease.nextLeaseEndMillis();
+            call = new TargetCalls.ReportRequest(fence, lastAcknowledgedEnd, leaseEnd, waitMillis);
+            target = endpoint;
         }
-        switch (calls.report(to, call, waitMillis + REPORT_ANSWER_MILLIS)) {
+        switch (calls.report(target, call, waitMillis + REPORT_TIMEOUT_MARGIN_MILLIS)) {
             case TargetCalls.Reported reported -> {
-                take(reported, fence);
+                applyReport(reported, fence);
                 return true;
             }
-            case TargetCalls.Refused refused -> refused(refused, fence);
-            case TargetCalls.NoAnswer none -> noAnswer(none.reason());
+            case TargetCalls.Refused refused -> handleReportRefusal(refused, fence);
+            case TargetCalls.NoAnswer none -> handleNoAnswer(none.reason());
         }
         return false;
     }
 
-    private void take(TargetCalls.Reported reported, long fence) {
+    /** Applies a report that was requested with {@code fence}. */
+    private void applyReport(TargetCalls.Reported reported, long fence) {
         TargetReport report = reported.report();
-        List<Uncertain> judged = new ArrayList<>();
+        List<UnansweredStart> resolvable = new ArrayList<>();
         synchronized (this) {
             if (report.incarnation() < incarnation) {
                 return;
             }
             if (report.incarnation() != incarnation) {
                 incarnation = report.incarnation();
-                acknowledged = 0;
-                listed = 0;
+                lastAcknowledgedEnd = 0;
+                lastReportedEnd = 0;
                 lease.reset();
             }
-            lease.reported(reported.clockMillis());
+            lease.recordReport(reported.clockMillis());
             for (TargetReport.Ended end : report.ended()) {
-                listed = Math.max(listed, end.number());
+                lastReportedEnd = Math.max(lastReportedEnd, end.number());
             }
-            for (Uncertain each : uncertain) {
-                if (each.fence() < fence) {
-                    judged.add(each);
+            for (UnansweredStart unanswered : unansweredStarts) {
+                if (unanswered.fence() < fence) {
+                    resolvable.add(unanswered);
                 }
             }
-            uncertain.removeAll(judged);
-            if (silent) {
-                silent = false;
+            unansweredStarts.removeAll(resolvable);
+            if (unresponsive) {
+                unresponsive = false;
                 LOG.infof("dependency: target=%s outcome=regained", id);
             }
         }
         events.reported(report);
-        judged.forEach(each -> judge(each, report));
+        resolvable.forEach(unanswered -> resolve(unanswered, report));
     }
 
-    /** Decides what became of a start, now that a delayed copy of it can do nothing any more. */
-    private void judge(Uncertain each, TargetReport report) {
-        TargetCommand.Start start = each.start();
-        boolean there =
+    /** Determines the outcome of an unanswered start from a report taken under a higher fencing token. */
+    private void resolve(UnansweredStart unanswered, TargetReport report) {
+        TargetCommand.Start start = unanswered.start();
+        boolean running =
                 report.running().stream().anyMatch(run -> run.task().equals(start.task()) && run.run() == start.run());
         boolean ended =
                 report.ended().stream().anyMatch(end -> end.task().equals(start.task()) && end.run() == start.run());
         LOG.infof(
                 "start: request=%s task=%s run=%s target=%s outcome=%s",
-                start.task().job(), start.task(), start.run(), id, there ? "found" : ended ? "ended" : "absent");
-        if (there) {
+                start.task().job(), start.task(), start.run(), id, running ? "found" : ended ? "ended" : "absent");
+        if (running) {
             events.started(start);
-        } else if (!ended && recent(each.sentNanos())) {
-            send(start, each.sentNanos());
+        } else if (!ended && isWithinResendLimit(unanswered.sentNanos())) {
+            send(start, unanswered.sentNanos());
         } else if (!ended) {
             events.notStarted(start, "no answer", AVOID_MILLIS);
         }
     }
 
-    private static boolean recent(long firstNanos) {
-        return System.nanoTime() - firstNanos < RESEND_MILLIS * Clocks.NANOS_PER_MILLI;
+    private static boolean isWithinResendLimit(long firstNanos) {
+        return System.nanoTime() - firstNanos < RESEND_LIMIT_MILLIS * Clocks.NANOS_PER_MILLI;
     }
 
-    private synchronized void clock(long millis) {
-        lease.clock(millis);
+    private synchronized void recordClock(long millis) {
+        lease.recordClock(millis);
     }
 
-    private void refused(TargetCalls.Refused refused, long fence) {
+    private void handleReportRefusal(TargetCalls.Refused refused, long fence) {
         if (refused.reason() == TargetCalls.RefusalReason.FENCE && fence == fence()) {
             events.deposed(id);
         }
         if (refused.reason() == TargetCalls.RefusalReason.OTHER_TARGET) {
-            noAnswer("another target at the address");
+            handleNoAnswer("another target at the address");
         }
     }
 
-    private void noAnswer(String reason) {
-        boolean over;
+    private void handleNoAnswer(String reason) {
+        boolean leaseExpired;
         synchronized (this) {
-            if (!silent) {
-                silent = true;
+            if (!unresponsive) {
+                unresponsive = true;
                 LOG.infof("dependency: target=%s outcome=lost reason=%s", id, reason);
             }
-            over = lease.over();
-            if (over) {
-                uncertain.clear();
+            leaseExpired = lease.isExpired();
+            if (leaseExpired) {
+                unansweredStarts.clear();
             }
         }
-        events.silent(id, AVOID_MILLIS);
-        if (over) {
-            events.lapsed(id);
+        events.unresponsive(id, AVOID_MILLIS);
+        if (leaseExpired) {
+            events.leaseExpired(id);
         }
     }
 
-    /** Sends a start whose record is durable. */
+    /** Sends a start order; its record must be durable. */
     void start(TargetCommand.Start start) {
         send(start, System.nanoTime());
     }
 
     private void send(TargetCommand.Start start, long firstNanos) {
         TargetCalls.StartRequest call;
-        TargetCalls.Endpoint to;
+        TargetCalls.Endpoint target;
         synchronized (this) {
-            OptionalLong until = lease.extend();
-            if (until.isEmpty() || closed || !events.leads()) {
+            OptionalLong leaseEnd = lease.nextLeaseEndMillis();
+            if (leaseEnd.isEmpty() || closed || !events.isLeading()) {
                 events.notStarted(start, "not verified", 0);
                 return;
             }
             call = new TargetCalls.StartRequest(
-                    start.task(), start.run(), start.payload(), start.checkpoint(), until.getAsLong(), fence());
-            to = address;
+                    start.task(), start.run(), start.payload(), start.checkpoint(), leaseEnd.getAsLong(), fence());
+            target = endpoint;
         }
-        switch (calls.start(to, call, ORDER_ANSWER_MILLIS)) {
+        switch (calls.start(target, call, ORDER_TIMEOUT_MILLIS)) {
             case TargetCalls.Done done -> {
-                clock(done.clockMillis());
+                recordClock(done.clockMillis());
                 events.started(start);
             }
-            case TargetCalls.Refused refused -> startRefused(start, call, refused, firstNanos);
-            case TargetCalls.NoAnswer none -> unanswered(start, call.fence(), firstNanos, none.reason());
+            case TargetCalls.Refused refused -> handleStartRefusal(start, call, refused, firstNanos);
+            case TargetCalls.NoAnswer none -> recordUnanswered(start, call.fence(), firstNanos, none.reason());
         }
     }
 
-    private synchronized void unanswered(TargetCommand.Start start, long fence, long firstNanos, String reason) {
+    /** Records an unanswered start, and increments the fencing token so that a delayed copy is rejected. */
+    private synchronized void recordUnanswered(TargetCommand.Start start, long fence, long firstNanos, String reason) {
         LOG.infof(
                 "start: request=%s task=%s run=%s target=%s outcome=unanswered reason=%s",
                 start.task().job(), start.task(), start.run(), id, reason);
-        uncertain.add(new Uncertain(start, fence, firstNanos));
+        unansweredStarts.add(new UnansweredStart(start, fence, firstNanos));
         if (fence() == fence) {
-            raised++;
+            fenceIncrements++;
         }
-        need(needed);
+        setOccupied(occupied);
     }
 
-    private void startRefused(
+    private void handleStartRefusal(
             TargetCommand.Start start, TargetCalls.StartRequest call, TargetCalls.Refused refused, long firstNanos) {
-        refused.clockMillis().ifPresent(this::clock);
+        refused.clockMillis().ifPresent(this::recordClock);
         switch (refused.reason()) {
             case FENCE -> {
-                if (call.fence() < fence() && recent(firstNanos)) {
+                if (call.fence() < fence() && isWithinResendLimit(firstNanos)) {
                     send(start, firstNanos);
                     return;
                 }
@@ -333,7 +373,7 @@
                 }
             }
             case LATE -> {
-                if (recent(firstNanos)) {
+                if (isWithinResendLimit(firstNanos)) {
                     send(start, firstNanos);
                 } else {
                     events.notStarted(start, "late", AVOID_MILLIS);
@@ -347,16 +387,16 @@
         }
     }
 
-    /** Sends a stop. One without an answer is sent again when a report still shows the run. */
+    /** Sends a stop order. If it is lost, the pool orders another stop when a report still shows the run. */
     void stop(TargetCommand.Stop stop) {
-        TargetCalls.Endpoint to;
+        TargetCalls.Endpoint target;
         synchronized (this) {
-            to = address;
+            target = endpoint;
         }
-        if (!events.leads()) {
+        if (!events.isLeading()) {
             return;
         }
-        TargetCalls.OrderReply reply = calls.stop(to, stop.task(), stop.run(), fence(), ORDER_ANSWER_MILLIS);
+        TargetCalls.OrderReply reply = calls.stop(target, stop.task(), stop.run(), fence(), ORDER_TIMEOUT_MILLIS);
         LOG.infof(
                 "stop: request=%s task=%s run=%s target=%s outcome=%s",
                 stop.task().job(), stop.task(), stop.run(), id, reply.getClass().getSimpleName());
--- a/acacia-node/src/main/java/org/acaciaport/node/Term.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Term.java
@@ -22,106 +22,118 @@
 import org.jboss.logging.Logger;
 
 /**
- * One term of leading the pool, from the moment all earlier records are known until it is over.
+ * One term of this node as leader: schedules the pool from the time the log has been read completely until the term
+ * ends.
  *
- * <p>The pool is used by the term's own thread only; everything else reaches it as an event. A start leaves only after
- * the record that names it is durable.
+ * <p>Only the thread in {@link #run} uses the pool; other threads post events to it. A start order is sent only after
+ * the record of that start is durable.
  */
 final class Term implements TargetSession.Events, Replica.Listener {
     private static final Logger LOG = Logger.getLogger(Term.class);
 
-    /** How long leases are renewed while the log cannot confirm the lead, in milliseconds. */
-    static final long UNCONFIRMED_MILLIS = 8_000;
+    /**
+     * How long this node continues to act as leader after the log last confirmed its term, in milliseconds.
+     *
+     * <p>A later leader waits at least this long before it treats leases granted by this term as expired.
+     */
+    static final long MAX_UNCONFIRMED_MILLIS = 8_000;
 
-    /** Longest pause between two records of the leader, in milliseconds. */
-    static final long BEAT_MILLIS = 250;
+    /** Interval between heartbeat records in the log, in milliseconds. */
+    static final long HEARTBEAT_INTERVAL_MILLIS = 250;
 
-    private static final long STEP_MILLIS = 20;
+    /** Longest wait for an event before the next scheduling pass, in milliseconds. */
+    private static final long LOOP_INTERVAL_MILLIS = 20;
 
-    /** Pause between two reads of the registrations, in milliseconds. */
-    private static final long REGISTRY_PAUSE_MILLIS = 200;
+    /** Interval between reads of the target registrations, in milliseconds. */
+    private static final long REGISTRATION_POLL_INTERVAL_MILLIS = 200;
 
-    /** How long jobs that have ended can be asked for, in milliseconds. */
-    private static final long KEPT_MILLIS = 180_000;
+    /** How long the state of an ended job can be queried, in milliseconds. */
+    private static final long ENDED_JOB_RETENTION_MILLIS = 180_000;
 
-    private static final long PURGE_PAUSE_MILLIS = 5_000;
-    private static final int FENCE_BITS = 16;
+    private static final long PURGE_INTERVAL_MILLIS = 5_000;
+
+    /** Low-order bits of a fencing token, which a session increments within the term; the epoch is above them. */
+    private static final int FENCE_INCREMENT_BITS = 16;
 
     private final LeaderRecord self;
     private final long epoch;
-    private final LeaderLogWriter termLog;
+    private final LeaderLogWriter logWriter;
     private final Replica replica;
-    private final ConfigurationView operators;
+    private final ConfigurationView configuration;
     private final TargetCalls calls;
-    private final TopicConsumer registry;
+    private final TopicConsumer registrationConsumer;
     private final Pool pool = new Pool();
     private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
     private final Map<String, TargetSession> sessions = new HashMap<>();
     private final Map<String, TargetInfo> registered = new HashMap<>();
     private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
-    private final long begunInheritedNanos;
-    private final OrphanDetector orphans;
-    private final List<KeyedRecord> extra = new ArrayList<>();
-    private volatile boolean over;
+    private final long earlierLeasesEndNanos;
+    private final OrphanDetector orphanDetector;
+
+    /** Deletions of ended jobs for the next append. */
+    private final List<KeyedRecord> tombstones = new ArrayList<>();
+
+    private volatile boolean ended;
     private volatile boolean resigning;
-    private boolean appending;
-    private long beatNanos;
-    private long purgeNanos;
+    private boolean appendInFlight;
+    private long lastHeartbeatNanos;
+    private long lastPurgeNanos;
 
-    Term(LeaderRecord self, long epoch, LeaderLogWriter termLog, Dependencies dependencies) {
+    Term(LeaderRecord self, long epoch, LeaderLogWriter logWriter, Dependencies dependencies) {
         this.self = self;
         this.epoch = epoch;
-        this.termLog = termLog;
+        this.logWriter = logWriter;
         this.replica = dependencies.replica();
-        this.operators = dependencies.operators();
+        this.configuration = dependencies.configuration();
         this.calls = dependencies.calls();
-        TopicConsumer.PollSettings pace = new TopicConsumer.PollSettings(0, REGISTRY_PAUSE_MILLIS);
-        registry = new TopicConsumer(
+        TopicConsumer.PollSettings pollSettings = new TopicConsumer.PollSettings(0, REGISTRATION_POLL_INTERVAL_MILLIS);
+        registrationConsumer = new TopicConsumer(
                 dependencies.topics().targets(),
                 dependencies.log(),
-                pace,
+                pollSettings,
                 new RegistrationTracker(dependencies.codec(), this));
         ClockReading now = Clocks.now();
-        begunInheritedNanos = TargetLease.inherited(now, UNCONFIRMED_MILLIS);
-        orphans = new OrphanDetector(begunInheritedNanos);
-        purgeNanos = now.monotonicNanos();
+        earlierLeasesEndNanos = TargetLease.earlierLeasesEndNanos(now, MAX_UNCONFIRMED_MILLIS);
+        orphanDetector = new OrphanDetector(earlierLeasesEndNanos);
+        lastPurgeNanos = now.monotonicNanos();
     }
 
     /**
-     * What a term works with.
+     * The collaborators of a term.
      *
-     * @param replica the product's records
-     * @param operators what operators have published
-     * @param calls sends orders
-     * @param topics names of topics
+     * @param replica local copy of the scheduler's records
+     * @param configuration the operators' configuration
+     * @param calls sends orders to targets
+     * @param topics topics in the shared log
      * @param log the shared log
-     * @param codec decodes registrations
+     * @param codec decodes target registrations
      */
     record Dependencies(
             Replica replica,
-            ConfigurationView operators,
+            ConfigurationView configuration,
             TargetCalls calls,
             Topics topics,
             FailoverLog log,
             TargetCodec codec) {}
 
-    /** Leads until the term is over. */
+    /** Schedules until the term ends or the thread is interrupted. */
     void run() {
         restore();
-        operators.listen(() -> events.add(() -> pool.configure(operators.poolSettings())));
-        pool.configure(operators.poolSettings());
-        registry.start();
+        configuration.setListener(() -> events.add(() -> pool.configure(configuration.poolSettings())));
+        pool.configure(configuration.poolSettings());
+        registrationConsumer.start();
         try {
-            while (!over) {
-                step();
+            while (!ended) {
+                runIteration();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            end();
+            close();
         }
     }
 
+    /** Rebuilds the pool from the replica and subscribes to later records. */
     private void restore() {
         ClockReading now = Clocks.now();
         List<CancelRecord> cancels = new ArrayList<>();
@@ -145,13 +157,13 @@
                 epoch, pool.occupiedTargets().size());
     }
 
-    private void step() throws InterruptedException {
-        Runnable event = events.poll(STEP_MILLIS, TimeUnit.MILLISECONDS);
+    private void runIteration() throws InterruptedException {
+        Runnable event = events.poll(LOOP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         while (event != null) {
             event.run();
             event = events.poll();
         }
-        if (over) {
+        if (ended) {
             return;
         }
         ClockReading now = Clocks.now();
@@ -159,111 +171,116 @@
             pool.schedule(now);
         }
         for (TargetCommand.Stop stop : pool.takeStops()) {
-            TargetSession session = session(stop.target());
+            TargetSession session = getOrCreateSession(stop.target());
             if (session != null) {
                 executor.execute(() -> session.stop(stop));
             }
         }
         purge(now);
-        if (!appending) {
-            append(now);
+        if (!appendInFlight) {
+            startAppend(now);
         }
         Set<String> occupied = new HashSet<>(pool.occupiedTargets());
-        occupied.forEach(this::session);
-        orphans.over(occupied, sessions.keySet(), now).forEach(id -> pool.handleLeaseExpiry(id, now));
-        sessions.forEach((id, session) -> session.need(occupied.contains(id)));
+        occupied.forEach(this::getOrCreateSession);
+        orphanDetector.findExpired(occupied, sessions.keySet(), now).forEach(id -> pool.handleLeaseExpiry(id, now));
+        sessions.forEach((id, session) -> session.setOccupied(occupied.contains(id)));
     }
 
-    private void append(ClockReading now) {
+    /** Appends the pending records in the background if there are any or a heartbeat is due. */
+    private void startAppend(ClockReading now) {
         Batch batch = pool.takeBatch();
-        boolean beat = now.millisSince(beatNanos) >= BEAT_MILLIS;
-        if (batch.records().isEmpty() && extra.isEmpty() && !beat) {
-            release(batch);
+        boolean heartbeatDue = now.millisSince(lastHeartbeatNanos) >= HEARTBEAT_INTERVAL_MILLIS;
+        if (batch.records().isEmpty() && tombstones.isEmpty() && !heartbeatDue) {
+            releaseBatch(batch);
             return;
         }
-        List<KeyedRecord> records = new ArrayList<>(extra);
-        extra.clear();
-        batch.records().forEach(progress -> records.add(JobRecords.progress(progress)));
-        if (beat || resigning) {
-            beatNanos = now.monotonicNanos();
-            records.add(JobRecords.leader(new LeaderRecord(self.node(), self.startedMillis(), resigning)));
+        List<KeyedRecord> records = new ArrayList<>(tombstones);
+        tombstones.clear();
+        batch.records().forEach(progress -> records.add(JobRecords.encode(progress)));
+        if (heartbeatDue || resigning) {
+            lastHeartbeatNanos = now.monotonicNanos();
+            records.add(JobRecords.encode(new LeaderRecord(self.node(), self.startedMillis(), resigning)));
         }
-        appending = true;
+        appendInFlight = true;
         executor.execute(() -> {
-            boolean done = termLog.append(records);
-            events.add(() -> appended(done, batch));
+            boolean appended = logWriter.append(records);
+            events.add(() -> handleAppendResult(appended, batch));
         });
     }
 
-    private void appended(boolean done, Batch batch) {
-        appending = false;
-        if (!done) {
-            stop("deposed by a later term in the log");
+    /** Releases the orders of a durable batch; ends the term if the log rejected the append. */
+    private void handleAppendResult(boolean appended, Batch batch) {
+        appendInFlight = false;
+        if (!appended) {
+            end("deposed by a later term in the log");
             return;
         }
-        release(batch);
+        releaseBatch(batch);
     }
 
-    private void release(Batch batch) {
+    /** Sends the start orders and acknowledgements that depended on the records of {@code batch}. */
+    private void releaseBatch(Batch batch) {
         for (TargetCommand.Start start : batch.starts()) {
-            TargetSession session = session(start.target());
+            TargetSession session = getOrCreateSession(start.target());
             if (session == null) {
                 pool.handleStartFailure(start, "no address", 0, Clocks.now());
             } else {
                 executor.execute(() -> session.start(start));
             }
         }
-        batch.acknowledgements().forEach((target, ends) -> {
-            TargetSession session = session(target);
+        batch.acknowledgements().forEach((target, acknowledgement) -> {
+            TargetSession session = getOrCreateSession(target);
             if (session != null) {
-                session.acknowledge(ends.incarnation(), ends.upTo());
+                session.acknowledge(acknowledgement.incarnation(), acknowledgement.upTo());
             }
         });
     }
 
-    /** Drops jobs that ended long ago. */
+    /** Removes ended jobs whose retention period has passed from the pool and the log. */
     private void purge(ClockReading now) {
-        if (now.millisSince(purgeNanos) < PURGE_PAUSE_MILLIS) {
+        if (now.millisSince(lastPurgeNanos) < PURGE_INTERVAL_MILLIS) {
             return;
         }
-        purgeNanos = now.monotonicNanos();
-        for (String id : pool.jobsEndedBefore(now.wallClockMillis() - KEPT_MILLIS)) {
+        lastPurgeNanos = now.monotonicNanos();
+        for (String id : pool.jobsEndedBefore(now.wallClockMillis() - ENDED_JOB_RETENTION_MILLIS)) {
             pool.removeJob(id);
-            extra.add(KeyedRecord.drop(JobRecords.PROGRESS + id));
-            extra.add(KeyedRecord.drop(JobRecords.CANCEL + id));
-            extra.add(KeyedRecord.drop(JobRecords.JOB + id));
+            tombstones.add(KeyedRecord.drop(JobRecords.PROGRESS_PREFIX + id));
+            tombstones.add(KeyedRecord.drop(JobRecords.CANCEL_PREFIX + id));
+            tombstones.add(KeyedRecord.drop(JobRecords.JOB_PREFIX + id));
         }
     }
 
-    /** Returns the session with a target, or null if its address was never known. */
-    private TargetSession session(String id) {
+    /** Returns the session of a target, created on first use; null if this term has seen no registration of it. */
+    private TargetSession getOrCreateSession(String id) {
         TargetSession session = sessions.get(id);
         TargetInfo info = registered.get(id);
         if (session == null && info != null) {
-            TargetCalls.Endpoint address = new TargetCalls.Endpoint(id, info.address());
-            session = new TargetSession(address, calls, this, epoch << FENCE_BITS, begunInheritedNanos);
+            TargetCalls.Endpoint endpoint = new TargetCalls.Endpoint(id, info.address());
+            session = new TargetSession(endpoint, calls, this, epoch << FENCE_INCREMENT_BITS, earlierLeasesEndNanos);
             sessions.put(id, session);
         }
         return session;
     }
 
-    /** Takes a registration. */
+    /** Adds or updates a registered target. */
     void register(TargetInfo info) {
         events.add(() -> {
-            TargetInfo before = registered.put(info.id(), info);
-            if (before == null || before.draining() != info.draining() || before.incarnation() != info.incarnation()) {
+            TargetInfo previous = registered.put(info.id(), info);
+            if (previous == null
+                    || previous.draining() != info.draining()
+                    || previous.incarnation() != info.incarnation()) {
                 LOG.infof(
                         "target: target=%s address=%s data_centre=%s incarnation=%s draining=%s",
                         info.id(), info.address(), info.dataCentre(), info.incarnation(), info.draining());
             }
             pool.register(info);
-            TargetSession session = session(info.id());
-            session.address(new TargetCalls.Endpoint(info.id(), info.address()));
-            session.verify(info.incarnation());
+            TargetSession session = getOrCreateSession(info.id());
+            session.setEndpoint(new TargetCalls.Endpoint(info.id(), info.address()));
+            session.announceIncarnation(info.incarnation());
         });
     }
 
-    /** Takes note that a registration is gone. */
+    /** Handles the removal of a target's registration. */
     void unregister(String id) {
         events.add(() -> {
             LOG.infof("target: target=%s outcome=unregistered", id);
@@ -297,52 +314,57 @@
     }
 
     @Override
-    public void silent(String target, long avoidMillis) {
+    public void unresponsive(String target, long avoidMillis) {
         events.add(() -> pool.exclude(target, avoidMillis, Clocks.now()));
     }
 
     @Override
-    public void lapsed(String target) {
+    public void leaseExpired(String target) {
         events.add(() -> pool.handleLeaseExpiry(target, Clocks.now()));
     }
 
     @Override
     public void deposed(String target) {
-        stop("target " + target + " has seen a later term");
+        end("target " + target + " has seen a later term");
     }
 
     @Override
-    public boolean leads() {
-        return !over && Clocks.age(termLog.confirmed()) < UNCONFIRMED_MILLIS;
+    public boolean isLeading() {
+        return !ended && Clocks.ageMillis(logWriter.lastConfirmed()) < MAX_UNCONFIRMED_MILLIS;
     }
 
-    /** Ends the term at once. */
-    void stop(String reason) {
-        if (!over) {
-            over = true;
+    /** Ends the term immediately. */
+    void end(String reason) {
+        if (!ended) {
+            ended = true;
             LOG.infof("lead: epoch=%s outcome=ended reason=%s", epoch, reason);
         }
     }
 
-    /** Gives up the lead for a planned stop, so that another node takes it at once; waits until that is durable. */
+    /**
+     * Resigns for a planned shutdown, so that another node can take over immediately.
+     *
+     * @param millis how long to wait for the resignation to become durable, in milliseconds
+     */
     void resign(long millis) {
-        long deadline = Clocks.in(millis);
+        long deadline = Clocks.deadlineAfter(millis);
         events.add(() -> {
             resigning = true;
-            beatNanos -= BEAT_MILLIS * Clocks.NANOS_PER_MILLI;
+            // Makes a heartbeat due, so that the resignation is appended without delay.
+            lastHeartbeatNanos -= HEARTBEAT_INTERVAL_MILLIS * Clocks.NANOS_PER_MILLI;
         });
-        while (!over && Clocks.millisUntil(deadline) > 0 && Clocks.sleep(STEP_MILLIS)) {
+        while (!ended && Clocks.millisUntil(deadline) > 0 && Clocks.sleep(LOOP_INTERVAL_MILLIS)) {
             Replica.Leader leader = replica.leader();
             if (leader != null && leader.record().resigned()) {
-                stop("resigned");
+                end("resigned");
             }
         }
     }
 
-    private void end() {
-        registry.stop();
+    private void close() {
+        registrationConsumer.stop();
         replica.detach();
-        operators.listen(() -> {});
+        configuration.setListener(() -> {});
         sessions.values().forEach(TargetSession::close);
         executor.shutdownNow();
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/TopicConsumer.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TopicConsumer.java
@@ -9,61 +9,65 @@
 import org.jboss.logging.Logger;
 
 /**
- * Follows one topic of the log and hands its records to a sink, in order.
+ * Consumes one topic of the log and passes its records to a sink, in order.
  *
- * <p>Runs on a thread of its own. Starts from the newest record of each key, and does so again whenever records it
- * needs have expired. The first read after one that failed does not wait for news, so that the copy counts as current
- * as soon as the log is back. {@link #catchUp} may be called by any thread.
+ * <p>Runs on its own thread. Starts from a snapshot, the newest record of each key, and takes another snapshot whenever
+ * the log no longer has the next record. The first read after a failed one does not wait for new records, so that the
+ * sink counts as current as soon as the log is available again. {@link #catchUp} is thread-safe.
  */
 final class TopicConsumer {
     private static final Logger LOG = Logger.getLogger(TopicConsumer.class);
 
-    /** Time allowed to an answer beyond the wait that was asked for, in milliseconds. */
-    private static final long ANSWER_MILLIS = 2_500;
+    /** Timeout of a read beyond the time for which it waits for new records, in milliseconds. */
+    private static final long READ_TIMEOUT_MARGIN_MILLIS = 2_500;
 
-    /** Pause after a read that failed, in milliseconds. */
-    private static final long RETRY_MILLIS = 60;
+    /** Delay after a failed read, in milliseconds. */
+    private static final long RETRY_DELAY_MILLIS = 60;
 
-    /** Takes the records of a topic. Calls come one at a time, under the follower's lock. */
+    /** Receives the records of a topic. Calls are serialized by the consumer's lock. */
     interface Sink {
-        /** Forgets everything; the newest records follow. */
+        /** Discards all records; a snapshot follows. */
         void reset();
 
-        /** Takes one record. Its offset is higher than that of earlier records with the same key. */
+        /** Applies one record. Its offset is higher than that of earlier records with the same key. */
         void apply(KeyedRecord record, long offset);
 
         /**
-         * Has everything that was in the topic at {@code asOf}.
+         * Called when all records that were in the topic at {@code asOf} have been applied.
          *
-         * @param next offset of the next record
+         * @param nextOffset offset of the next record
          */
-        void caughtUp(ClockReading asOf, long next);
+        void caughtUp(ClockReading asOf, long nextOffset);
     }
 
     /**
-     * How a topic is read.
+     * How a topic is polled.
      *
-     * @param waitMillis longest wait of a read for a record, in milliseconds
-     * @param pauseMillis pause between two reads, in milliseconds
+     * @param waitMillis how long a read waits for a new record, in milliseconds
+     * @param delayMillis delay between two reads, in milliseconds
      */
-    record PollSettings(long waitMillis, long pauseMillis) {}
+    record PollSettings(long waitMillis, long delayMillis) {}
 
     private final String topic;
     private final KeyedLog log;
     private final Sink sink;
-    private final PollSettings pace;
-    private volatile long pauseMillis;
+    private final PollSettings pollSettings;
+    private volatile long currentDelayMillis;
     private final Object lock = new Object();
     private final Thread thread;
     private volatile boolean stopped;
-    private long next = -1;
-    private boolean lost;
 
-    TopicConsumer(String topic, KeyedLog log, PollSettings pace, Sink sink) {
+    /** Offset of the next record; -1 while a snapshot is needed. */
+    private long nextOffset = -1;
+
+    /** Whether the last read of this consumer's thread failed. */
+    private boolean failing;
+
+    TopicConsumer(String topic, KeyedLog log, PollSettings pollSettings, Sink sink) {
         this.topic = topic;
         this.log = log;
-        this.pace = pace;
-        pauseMillis = pace.pauseMillis();
+        this.pollSettings = pollSettings;
+        currentDelayMillis = pollSettings.delayMillis();
         this.sink = sink;
         thread = Thread.ofVirtual().name("follow-" + topic).unstarted(this::run);
     }
@@ -79,58 +83,59 @@
 
     private void run() {
         while (!stopped) {
-            boolean answered = step(lost ? 0 : pace.waitMillis());
-            noteAnswer(answered);
-            long pause = answered ? pauseMillis : RETRY_MILLIS;
-            if (pause > 0 && !Clocks.sleep(pause)) {
+            boolean answered = poll(failing ? 0 : pollSettings.waitMillis());
+            setAnswering(answered);
+            long delay = answered ? currentDelayMillis : RETRY_DELAY_MILLIS;
+            if (delay > 0 && !Clocks.sleep(delay)) {
                 return;
             }
         }
     }
 
-    private void noteAnswer(boolean answered) {
-        if (answered == lost) {
-            lost = !answered;
+    private void setAnswering(boolean answered) {
+        if (answered == failing) {
+            failing = !answered;
             LOG.infof("dependency: log topic=%s outcome=%s", topic, answered ? "regained" : "lost");
         }
     }
 
-    /** Reads without a pause from now on, or with the usual one. */
-    void hurry(boolean now) {
-        pauseMillis = now ? 0 : pace.pauseMillis();
+    /** Sets whether to omit the delay between reads. */
+    void setPollContinuously(boolean continuous) {
+        currentDelayMillis = continuous ? 0 : pollSettings.delayMillis();
     }
 
-    /** Reads up to the end as of now or later; returns false if that was not possible by {@code deadline}. */
+    /** Reads up to the current end of the topic; returns false if that was not possible by {@code deadline}. */
     boolean catchUp(long deadline) {
         while (Clocks.millisUntil(deadline) > 0) {
-            if (step(0)) {
+            if (poll(0)) {
                 return true;
             }
-            if (!Clocks.sleep(RETRY_MILLIS)) {
+            if (!Clocks.sleep(RETRY_DELAY_MILLIS)) {
                 return false;
             }
         }
         return false;
     }
 
-    /** Reads once; returns whether everything as of the call has been handed over. */
-    private boolean step(long waitMillis) {
+    /** Reads once; returns whether the sink then has all records that were in the topic at the time of the call. */
+    private boolean poll(long waitMillis) {
         long from;
         synchronized (lock) {
-            from = next;
+            from = nextOffset;
         }
         if (from < 0) {
-            return restart() && step(0);
+            return loadSnapshot() && poll(0);
         }
         ClockReading asOf = Clocks.now();
-        return switch (log.read(topic, from, waitMillis, Clocks.in(waitMillis + ANSWER_MILLIS))) {
-            case ReadOutcome.Records records -> take(records, from, asOf);
+        return switch (log.read(
+                topic, from, waitMillis, Clocks.deadlineAfter(waitMillis + READ_TIMEOUT_MARGIN_MILLIS))) {
+            case ReadOutcome.Records records -> applyRecords(records, from, asOf);
             case ReadOutcome.Expired expired -> {
                 LOG.infof("follow: topic=%s from=%s first=%s outcome=restart", topic, from, expired.first());
                 synchronized (lock) {
-                    next = -1;
+                    nextOffset = -1;
                 }
-                yield restart() && step(0);
+                yield loadSnapshot() && poll(0);
             }
             case ReadOutcome.Unavailable unavailable -> {
                 LOG.debugf("follow: topic=%s outcome=unavailable reason=%s", topic, unavailable.reason());
@@ -139,34 +144,39 @@
         };
     }
 
-    private boolean take(ReadOutcome.Records read, long from, ClockReading asOf) {
+    /** Passes on the records that another thread has not passed on meanwhile. */
+    private boolean applyRecords(ReadOutcome.Records read, long from, ClockReading asOf) {
         synchronized (lock) {
             List<KeyedRecord> records = read.records();
             for (int i = 0; i < records.size(); i++) {
-                if (from + i >= next) {
+                if (from + i >= nextOffset) {
                     sink.apply(records.get(i), from + i);
-                    next = from + i + 1;
+                    nextOffset = from + i + 1;
                 }
             }
-            if (next < read.end()) {
+            if (nextOffset < read.end()) {
                 return false;
             }
-            sink.caughtUp(asOf, next);
+            sink.caughtUp(asOf, nextOffset);
             return true;
         }
     }
 
-    /** Takes the newest records; what changed meanwhile is read afterwards. */
-    private boolean restart() {
+    /**
+     * Passes on a snapshot if one is needed; returns false if the log did not answer.
+     *
+     * <p>Records at or after the end of the first page are left out: they are read from the topic afterwards.
+     */
+    private boolean loadSnapshot() {
         synchronized (lock) {
-            if (next >= 0) {
+            if (nextOffset >= 0) {
                 return true;
             }
             sink.reset();
             String after = "";
             long end = -1;
             while (true) {
-                NewestOutcome outcome = log.newest(topic, after, Clocks.in(ANSWER_MILLIS));
+                NewestOutcome outcome = log.newest(topic, after, Clocks.deadlineAfter(READ_TIMEOUT_MARGIN_MILLIS));
                 if (!(outcome instanceof NewestOutcome.Page page)) {
                     return false;
                 }
@@ -181,7 +191,7 @@
                     break;
                 }
             }
-            next = end;
+            nextOffset = end;
             return true;
         }
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/Topics.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Topics.java
@@ -1,12 +1,12 @@
 package org.acaciaport.node;
 
 /**
- * Names of the topics in the shared log.
+ * The names of the topics in the shared log.
  *
  * <p>Immutable.
  *
- * @param jobs the product's own records
- * @param operators what operators publish
- * @param targets registrations of targets
+ * @param jobs topic of the scheduler's own records: jobs, nodes and the leader
+ * @param operators topic of the operators' configuration and evacuations
+ * @param targets topic of the registrations of targets
  */
 public record Topics(String jobs, String operators, String targets) {}
--- a/acacia-node/src/test/java/org/acaciaport/node/LeaderElectionTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LeaderElectionTest.java
@@ -15,41 +15,42 @@
 import org.acaciaport.pool.TargetInfo;
 import org.junit.jupiter.api.Test;
 
-/** Who takes the lead and when, against a log in memory. */
+/** Tests when a node claims leadership, against an in-memory log. */
 final class LeaderElectionTest {
     private static final Topics TOPICS = new Topics("jobs", "operators", "targets");
     private static final LeaderRecord SELF = new LeaderRecord("node", 2_000, false);
 
-    private static final long PATIENCE_SECONDS = 20;
-    private static final long BEAT_MILLIS = 60;
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 60;
 
     private final MemoryLog log = new MemoryLog();
     private final Replica replica = new Replica();
     private final FailoverLog routes = new FailoverLog(log, new Peers("self:1", List::of));
-    private final TopicConsumer jobs =
+    private final TopicConsumer jobConsumer =
             new TopicConsumer(TOPICS.jobs(), routes, new TopicConsumer.PollSettings(0, 1), replica);
 
-    private LeaderElection leadership() {
-        ConfigurationView operators = new ConfigurationView(record ->
+    private LeaderElection newElection() {
+        ConfigurationView configuration = new ConfigurationView(record ->
                 new OperatorCodec.Published(new OperatorConfiguration(1, List.of(), Map.of(), Map.of(), Set.of("s"))));
-        operators.apply(KeyedRecord.drop("config"), 0);
-        operators.caughtUp(Clocks.now(), 1);
+        configuration.apply(KeyedRecord.drop("config"), 0);
+        configuration.caughtUp(Clocks.now(), 1);
         Term.Dependencies dependencies =
-                new Term.Dependencies(replica, operators, null, TOPICS, routes, new NoTargets());
-        return new LeaderElection(SELF, dependencies, jobs, new SplittableRandom(1));
+                new Term.Dependencies(replica, configuration, null, TOPICS, routes, new NoTargets());
+        return new LeaderElection(SELF, dependencies, jobConsumer, new SplittableRandom(1));
     }
 
-    private void lead(LeaderRecord record) {
+    private void appendLeaderRecord(LeaderRecord record) {
         log.append(
-                new Append(TOPICS.jobs(), List.of(JobRecords.leader(record)), new Append.Always()), Clocks.in(1_000));
+                new Append(TOPICS.jobs(), List.of(JobRecords.encode(record)), new Append.Always()),
+                Clocks.deadlineAfter(1_000));
     }
 
-    /** Returns whether the log holds a claim of this node's present program. */
-    private boolean claimed() throws IOException {
-        ReadOutcome.Records read = (ReadOutcome.Records) log.read(TOPICS.jobs(), 0, 0, Clocks.in(1_000));
+    /** Returns whether the log holds a claim of the process under test. */
+    private boolean hasClaimed() throws IOException {
+        ReadOutcome.Records read = (ReadOutcome.Records) log.read(TOPICS.jobs(), 0, 0, Clocks.deadlineAfter(1_000));
         for (KeyedRecord record : read.records()) {
-            boolean leader = record.key().equals(JobRecords.LEADER);
-            if (leader && JobRecords.read(record, LeaderRecord.class).equals(SELF)) {
+            boolean leader = record.key().equals(JobRecords.LEADER_KEY);
+            if (leader && JobRecords.decode(record, LeaderRecord.class).equals(SELF)) {
                 return true;
             }
         }
@@ -57,40 +58,40 @@
     }
 
     /**
-     * Pattern: all nodes are killed and start again. The former leader's node used to wait until the silence of its
-     * former program was noticed. Here that program never seems silent, so only the restart can be the reason.
+     * Guards against a restarted leader waiting for the failure timeout of its own earlier process, for example after
+     * all nodes were killed. Here that process keeps writing heartbeats, so only the restart can cause the claim.
      */
     @Test
-    void aLeaderThatWasStartedAgainNeedNotWaitForItsOwnSilence() throws Exception {
-        jobs.start();
-        LeaderElection leadership = leadership();
-        leadership.start();
-        long deadline = Clocks.in(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
-        while (!claimed() && Clocks.millisUntil(deadline) > 0) {
-            lead(new LeaderRecord(SELF.node(), 1_000, false));
-            Clocks.sleep(BEAT_MILLIS);
+    void aRestartedLeaderClaimsWithoutWaitingForTheFailureTimeout() throws Exception {
+        jobConsumer.start();
+        LeaderElection election = newElection();
+        election.start();
+        long deadline = Clocks.deadlineAfter(TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
+        while (!hasClaimed() && Clocks.millisUntil(deadline) > 0) {
+            appendLeaderRecord(new LeaderRecord(SELF.node(), 1_000, false));
+            Clocks.sleep(HEARTBEAT_INTERVAL_MILLIS);
         }
-        leadership.stop(1_000);
-        jobs.stop();
-        assertThat(claimed()).isTrue();
+        election.stop(1_000);
+        jobConsumer.stop();
+        assertThat(hasClaimed()).isTrue();
     }
 
     @Test
-    void anotherNodesLeaderIsLeftAloneWhileItWrites() throws Exception {
-        jobs.start();
-        lead(new LeaderRecord("other", 1_000, false));
-        LeaderElection leadership = leadership();
-        leadership.start();
+    void noClaimWhileAnotherLeaderSendsHeartbeats() throws Exception {
+        jobConsumer.start();
+        appendLeaderRecord(new LeaderRecord("other", 1_000, false));
+        LeaderElection election = newElection();
+        election.start();
         for (int i = 0; i < 15; i++) {
-            lead(new LeaderRecord("other", 1_000, false));
-            Clocks.sleep(BEAT_MILLIS);
+            appendLeaderRecord(new LeaderRecord("other", 1_000, false));
+            Clocks.sleep(HEARTBEAT_INTERVAL_MILLIS);
         }
-        leadership.stop(1_000);
-        jobs.stop();
-        assertThat(claimed()).isFalse();
+        election.stop(1_000);
+        jobConsumer.stop();
+        assertThat(hasClaimed()).isFalse();
     }
 
-    /** Decodes nothing; the log in memory holds the topics of all in one. */
+    /** Ignores all records, since the in-memory log has the records of all topics in one. */
     private static final class NoTargets implements TargetCodec {
         @Override
         public Optional<String> targetId(KeyedRecord record) {
--- a/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
@@ -25,7 +25,7 @@
 import org.acaciaport.wire.WireServer;
 import org.junit.jupiter.api.Test;
 
-/** Ways to the log, the copy of the jobs, and what callers are told, against a log in memory. */
+/** Tests routes to the log, the replica of the jobs, and answers to callers, against an in-memory log. */
 final class LogAccessTest {
     private static final String TOPIC = "jobs";
     private static final Topics TOPICS = new Topics(TOPIC, "operators", "targets");
@@ -38,52 +38,53 @@
     private final MemoryLog log = new MemoryLog();
     private final Replica replica = new Replica();
     private final FailoverLog routes = new FailoverLog(log, new Peers("self:1", List::of));
-    private final TopicConsumer follower =
+    private final TopicConsumer jobConsumer =
             new TopicConsumer(TOPIC, routes, new TopicConsumer.PollSettings(0, 0), replica);
 
-    private static long soon() {
-        return Clocks.in(300);
+    private static long shortDeadline() {
+        return Clocks.deadlineAfter(300);
     }
 
-    private JobService jobService(KeyedRecord published) {
-        ConfigurationView operators = new ConfigurationView(record -> new OperatorCodec.Published(
+    private JobService newJobService(KeyedRecord published) {
+        ConfigurationView configuration = new ConfigurationView(record -> new OperatorCodec.Published(
                 new OperatorConfiguration(1, List.of(QUEUE), Map.of("key", "account"), Map.of(), Set.of("s"))));
-        operators.apply(published, 0);
-        operators.caughtUp(Clocks.now(), 1);
-        Term.Dependencies dependencies = new Term.Dependencies(replica, operators, null, TOPICS, routes, null);
-        return new JobService(dependencies, follower, 4_000, new MetricRegistry());
+        configuration.apply(published, 0);
+        configuration.caughtUp(Clocks.now(), 1);
+        Term.Dependencies dependencies = new Term.Dependencies(replica, configuration, null, TOPICS, routes, null);
+        return new JobService(dependencies, jobConsumer, 4_000, new MetricRegistry());
     }
 
     private JobService.Answer submit(JobService jobService, String id) {
-        return jobService.submit(ACCESS, id, "payload", STEPS, Job.Schedule.NOW, soon());
+        return jobService.submit(ACCESS, id, "payload", STEPS, Job.Schedule.NOW, shortDeadline());
     }
 
     private AppendOutcome append(KeyedRecord record) {
-        return log.append(new Append(TOPIC, List.of(record), new Append.Always()), soon());
+        return log.append(new Append(TOPIC, List.of(record), new Append.Always()), shortDeadline());
     }
 
     @Test
-    void aPeerIsAskedWhileTheLogTurnsThisNodeAway() throws Exception {
+    void callsAreRelayedThroughAPeerWhileTheLogRefusesThisNode() throws Exception {
         MemoryLog shared = new MemoryLog();
         FailoverLog peerRoutes = new FailoverLog(shared, new Peers("peer", List::of));
         try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
             log.failure = MemoryLog.Failure.REFUSE;
             List<String> peers = List.of("127.0.0.1:" + peer.port());
-            FailoverLog turnedAway = new FailoverLog(log, new Peers("self:1", () -> peers));
+            FailoverLog refusedLog = new FailoverLog(log, new Peers("self:1", () -> peers));
             Append append = new Append(TOPIC, List.of(KeyedRecord.drop("k")), new Append.Always());
-            assertThat(turnedAway.append(append, Clocks.in(5_000))).isInstanceOf(AppendOutcome.Appended.class);
-            assertThat(turnedAway.reachable()).isTrue();
-            ReadOutcome read = turnedAway.read(TOPIC, 0, 0, Clocks.in(5_000));
+            assertThat(refusedLog.append(append, Clocks.deadlineAfter(5_000)))
+                    .isInstanceOf(AppendOutcome.Appended.class);
+            assertThat(refusedLog.isReachable()).isTrue();
+            ReadOutcome read = refusedLog.read(TOPIC, 0, 0, Clocks.deadlineAfter(5_000));
             assertThat(((ReadOutcome.Records) read).records()).hasSize(1);
         }
     }
 
     /**
-     * Pattern: the store turns most nodes away. Each call tried the same three peers, so that a node whose first three
-     * were turned away as well never found the one that was not.
+     * Guards against always relaying through the same three peers. When the store refuses most nodes, those three may
+     * be refused too, while another peer could relay.
      */
     @Test
-    void everyPeerHasItsTurn() throws Exception {
+    void everyPeerIsTriedEventually() throws Exception {
         MemoryLog refusing = new MemoryLog();
         refusing.failure = MemoryLog.Failure.REFUSE;
         log.failure = MemoryLog.Failure.REFUSE;
@@ -95,15 +96,16 @@
             List<String> peers = Stream.of(one, two, three, four)
                     .map(peer -> "127.0.0.1:" + peer.port())
                     .toList();
-            FailoverLog ways = new FailoverLog(log, new Peers("self:1", () -> peers));
+            FailoverLog failoverLog = new FailoverLog(log, new Peers("self:1", () -> peers));
             Append append = new Append(TOPIC, List.of(KeyedRecord.drop("k")), new Append.Always());
-            ways.append(append, Clocks.in(5_000));
-            assertThat(ways.append(append, Clocks.in(5_000))).isInstanceOf(AppendOutcome.Appended.class);
+            failoverLog.append(append, Clocks.deadlineAfter(5_000));
+            assertThat(failoverLog.append(append, Clocks.deadlineAfter(5_000)))
+                    .isInstanceOf(AppendOutcome.Appended.class);
         }
     }
 
-    /** A log that does something before each read. */
-    private record Watched(KeyedLog log, Runnable beforeRead) implements KeyedLog {
+    /** A log that runs an action before each read. */
+    private record ObservedLog(KeyedLog log, Runnable beforeRead) implements KeyedLog {
         @Override
         public AppendOutcome append(Append append, long deadline) {
             return log.append(append, deadline);
@@ -122,100 +124,100 @@
     }
 
     /**
-     * Pattern: the store turns some nodes away for long. They relay through peers, but each probe of the direct way
-     * made them refuse requests until the next relayed call had been answered.
+     * Guards against refusing requests while a failing direct route is probed. When the store refuses a node for a long
+     * time, each failed probe must not count as an unreachable log, since calls still succeed through peers.
      */
     @Test
-    void aNodeThatRelaysThroughPeersDoesNotRefuseWhileItProbes() throws Exception {
+    void theLogStaysReachableWhileTheDirectRouteIsProbed() throws Exception {
         List<Boolean> seen = new CopyOnWriteArrayList<>();
-        AtomicReference<FailoverLog> turnedAway = new AtomicReference<>();
+        AtomicReference<FailoverLog> refusedLog = new AtomicReference<>();
         KeyedLog shared =
-                new Watched(new MemoryLog(), () -> seen.add(turnedAway.get().reachable()));
+                new ObservedLog(new MemoryLog(), () -> seen.add(refusedLog.get().isReachable()));
         FailoverLog peerRoutes = new FailoverLog(shared, new Peers("peer", List::of));
         try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
             List<String> peers = List.of("127.0.0.1:" + peer.port());
-            turnedAway.set(new FailoverLog(log, new Peers("self:1", () -> peers)));
+            refusedLog.set(new FailoverLog(log, new Peers("self:1", () -> peers)));
             log.failure = MemoryLog.Failure.REFUSE;
-            turnedAway.get().read(TOPIC, 0, 0, Clocks.in(5_000));
+            refusedLog.get().read(TOPIC, 0, 0, Clocks.deadlineAfter(5_000));
             seen.clear();
             int probes = log.calls;
             while (log.calls < probes + 2) {
-                turnedAway.get().read(TOPIC, 0, 0, Clocks.in(5_000));
+                refusedLog.get().read(TOPIC, 0, 0, Clocks.deadlineAfter(5_000));
             }
         }
         assertThat(seen).doesNotContain(false);
     }
 
     /**
-     * Pattern: an outage of the store. Requests used to wait out their deadline and end with an answer after which the
-     * caller may not repeat them.
+     * Guards against holding requests until their deadline during an outage of the store, and then answering that their
+     * outcome is unknown although nothing was written.
      */
     @Test
-    void requestsAreRefusedAtOnceWhileNoWayToTheLogWorks() {
+    void requestsAreRefusedImmediatelyWhileTheLogIsUnreachable() {
         log.failure = MemoryLog.Failure.REFUSE;
-        JobService jobService = jobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.drop("config"));
         assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Refused.class);
         int calls = log.calls;
         assertThat(submit(jobService, "b")).isInstanceOf(JobService.Answer.Refused.class);
         assertThat(log.calls).isEqualTo(calls);
     }
 
-    /** Pattern: one node is cut off. Its callers used to pause a second although the next try reaches another node. */
+    /** Guards against delaying retries when only this node is partitioned, since the retry reaches another node. */
     @Test
-    void callersOfANodeThatIsCutOffAloneNeedNotPause() {
-        JobService jobService = jobService(KeyedRecord.drop("config"));
+    void callersOfAnIsolatedNodeRetryImmediately() {
+        JobService jobService = newJobService(KeyedRecord.drop("config"));
         assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Accepted.class);
         log.failure = MemoryLog.Failure.REFUSE;
         submit(jobService, "b");
         assertThat(jobService.retryAfterSeconds()).isEqualTo(1);
         await(() -> jobService.retryAfterSeconds() == 0);
         log.failure = MemoryLog.Failure.NONE;
-        follower.catchUp(soon());
+        jobConsumer.catchUp(shortDeadline());
         assertThat(jobService.retryAfterSeconds()).isEqualTo(1);
     }
 
-    /** Pattern: an outage of the log, in which the others are reachable and no better off. */
+    /** During an outage of the log, reachable peers show that this node is not isolated, so callers must pause. */
     @Test
-    void callersPauseWhileNobodyReachesTheLog() throws Exception {
+    void aNodeWithReachablePeersIsNotIsolatedDuringAnOutageOfTheLog() throws Exception {
         FailoverLog peerRoutes = new FailoverLog(log, new Peers("peer", List::of));
         try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
             List<String> peers = List.of("127.0.0.1:" + peer.port());
-            FailoverLog ways = new FailoverLog(log, new Peers("self:1", () -> peers));
+            FailoverLog failoverLog = new FailoverLog(log, new Peers("self:1", () -> peers));
             log.failure = MemoryLog.Failure.REFUSE;
             for (int i = 0; i < 15; i++) {
-                ways.read(TOPIC, 0, 0, Clocks.in(2_000));
+                failoverLog.read(TOPIC, 0, 0, Clocks.deadlineAfter(2_000));
                 Clocks.sleep(100);
             }
-            assertThat(ways.reachable()).isFalse();
-            assertThat(ways.alone()).isFalse();
+            assertThat(failoverLog.isReachable()).isFalse();
+            assertThat(failoverLog.isIsolated()).isFalse();
         }
     }
 
     @Test
     void aLostAnswerIsNeverARefusal() {
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
-        assertThat(submit(jobService(KeyedRecord.drop("config")), "a"))
+        assertThat(submit(newJobService(KeyedRecord.drop("config")), "a"))
                 .isInstanceOf(JobService.Answer.Undetermined.class);
     }
 
     /**
-     * Pattern: a zone is cut while an append is on its way. The request used to be held to its deadline, so that the
-     * caller could not try a node that reaches the log.
+     * Guards against holding a request of unknown outcome until its deadline. This happens when a zone is partitioned
+     * during an append; the caller needs the remaining time to try a node that reaches the log.
      */
     @Test
-    void aRequestOfUnknownOutcomeIsNotHeldWhileTheLogCannotBeReached() {
+    void aRequestOfUnknownOutcomeIsAnsweredEarlyWhileTheLogIsUnreachable() {
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
-        JobService jobService = jobService(KeyedRecord.drop("config"));
-        long deadline = Clocks.in(2_000);
+        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        long deadline = Clocks.deadlineAfter(2_000);
         JobService.Answer answer = jobService.submit(ACCESS, "a", "payload", STEPS, Job.Schedule.NOW, deadline);
         assertThat(answer).isInstanceOf(JobService.Answer.Undetermined.class);
         assertThat(log.calls).isEqualTo(1);
     }
 
-    /** Pattern: retries arrive with a few milliseconds left; they used to be answered as if something had been sent. */
+    /** Guards against answering a request with no time left as undetermined, although nothing was sent. */
     @Test
-    void withoutTimeLeftNothingIsSentAndTheRequestIsRefused() {
-        JobService jobService = jobService(KeyedRecord.drop("config"));
+    void aRequestWithNoTimeLeftIsRefusedAndNotSent() {
+        JobService jobService = newJobService(KeyedRecord.drop("config"));
         JobService.Answer answer =
                 jobService.submit(ACCESS, "a", "payload", STEPS, Job.Schedule.NOW, System.nanoTime());
         assertThat(answer).isInstanceOf(JobService.Answer.Refused.class);
@@ -224,61 +226,64 @@
 
     @Test
     void aRepeatedSubmissionIsOneJobAndKeepsItsProgress() {
-        JobService jobService = jobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.drop("config"));
         assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Accepted.class);
-        append(JobRecords.progress(new JobProgress("a", JobState.DONE, 1, List.of(), List.of())));
+        append(JobRecords.encode(new JobProgress("a", JobState.DONE, 1, List.of(), List.of())));
         submit(jobService, "a");
-        assertThat(follower.catchUp(soon())).isTrue();
-        assertThat(jobService.queryState(ACCESS, "a", soon())).isEqualTo(new JobService.Answer.State(JobState.DONE));
+        assertThat(jobConsumer.catchUp(shortDeadline())).isTrue();
+        assertThat(jobService.queryState(ACCESS, "a", shortDeadline()))
+                .isEqualTo(new JobService.Answer.State(JobState.DONE));
     }
 
     @Test
     void aJobOfAnotherAccountIsNotShown() {
-        JobService jobService = jobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.drop("config"));
         submit(jobService, "a");
         JobService.Access.Granted other = new JobService.Access.Granted(QUEUE, "other", "a");
-        assertThat(jobService.queryState(other, "a", soon())).isInstanceOf(JobService.Answer.NoJob.class);
-        assertThat(jobService.cancel(other, "a", soon())).isInstanceOf(JobService.Answer.NoJob.class);
+        assertThat(jobService.queryState(other, "a", shortDeadline())).isInstanceOf(JobService.Answer.NoJob.class);
+        assertThat(jobService.cancel(other, "a", shortDeadline())).isInstanceOf(JobService.Answer.NoJob.class);
     }
 
     @Test
-    void aJobIsSaidNotToExistOnlyByACurrentCopy() {
-        JobService jobService = jobService(KeyedRecord.drop("config"));
-        assertThat(jobService.queryState(ACCESS, "none", soon())).isInstanceOf(JobService.Answer.NoJob.class);
+    void onlyACurrentReplicaReportsThatAJobDoesNotExist() {
+        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        assertThat(jobService.queryState(ACCESS, "none", shortDeadline())).isInstanceOf(JobService.Answer.NoJob.class);
         log.failure = MemoryLog.Failure.REFUSE;
-        assertThat(jobService.queryState(ACCESS, "none", soon())).isInstanceOf(JobService.Answer.Refused.class);
+        assertThat(jobService.queryState(ACCESS, "none", shortDeadline()))
+                .isInstanceOf(JobService.Answer.Refused.class);
     }
 
     @Test
-    void theCopyIsMadeAnewWhenHistoryIsForgotten() {
-        JobService jobService = jobService(KeyedRecord.drop("config"));
+    void theReplicaIsRebuiltFromASnapshotWhenRecordsHaveExpired() {
+        JobService jobService = newJobService(KeyedRecord.drop("config"));
         submit(jobService, "a");
-        assertThat(follower.catchUp(soon())).isTrue();
+        assertThat(jobConsumer.catchUp(shortDeadline())).isTrue();
         submit(jobService, "b");
         submit(jobService, "c");
-        log.forgetHistory();
-        assertThat(follower.catchUp(soon())).isTrue();
+        log.expireRecords();
+        assertThat(jobConsumer.catchUp(shortDeadline())).isTrue();
         assertThat(replica.find("a")).isNotNull();
         assertThat(replica.find("c")).isNotNull();
     }
 
     /**
-     * Pattern: an outage of the store ends. Nodes used to refuse keyed calls for a second longer, since the first read
-     * waited for news before it showed that the copy is current.
+     * Guards against refusing calls for a second after an outage of the store. This happens if the first read waits for
+     * new records before it shows that the configuration is current.
      */
     @Test
-    void theFirstReadAfterAnOutageDoesNotWaitForNews() {
-        TopicConsumer waiting = new TopicConsumer(TOPIC, log, new TopicConsumer.PollSettings(1_000, 1), replica);
-        waiting.start();
-        await(() -> log.waits.contains(1_000L));
+    void theFirstReadAfterAnOutageDoesNotWaitForNewRecords() {
+        TopicConsumer waitingConsumer =
+                new TopicConsumer(TOPIC, log, new TopicConsumer.PollSettings(1_000, 1), replica);
+        waitingConsumer.start();
+        await(() -> log.readWaits.contains(1_000L));
         log.failure = MemoryLog.Failure.REFUSE;
         int before = log.calls;
         await(() -> log.calls > before + 1);
-        log.waits.clear();
+        log.readWaits.clear();
         log.failure = MemoryLog.Failure.NONE;
-        await(() -> !log.waits.isEmpty());
-        waiting.stop();
-        assertThat(log.waits.get(0)).isEqualTo(0);
+        await(() -> !log.readWaits.isEmpty());
+        waitingConsumer.stop();
+        assertThat(log.readWaits.get(0)).isEqualTo(0);
     }
 
     private static void await(BooleanSupplier condition) {
@@ -288,18 +293,18 @@
     }
 
     @Test
-    void aDeposedLeaderWritesNothingMore() {
+    void aDeposedLeaderCannotAppend() {
         LeaderLogWriter first = new LeaderLogWriter(log, TOPIC, 5);
-        assertThat(first.bar()).isTrue();
+        assertThat(first.fenceEarlierTerms()).isTrue();
         assertThat(first.append(List.of(KeyedRecord.drop("a")))).isTrue();
-        assertThat(new LeaderLogWriter(log, TOPIC, 9).bar()).isTrue();
+        assertThat(new LeaderLogWriter(log, TOPIC, 9).fenceEarlierTerms()).isTrue();
         assertThat(first.append(List.of(KeyedRecord.drop("b")))).isFalse();
     }
 
     @Test
-    void anAppendOfTheLeaderWhoseAnswerWasLostIsAppliedOnce() throws Exception {
+    void aLeaderAppendWithALostAnswerIsAppliedOnce() throws Exception {
         LeaderLogWriter term = new LeaderLogWriter(log, TOPIC, 5);
-        assertThat(term.bar()).isTrue();
+        assertThat(term.fenceEarlierTerms()).isTrue();
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
         Thread append = Thread.ofVirtual().start(() -> term.append(List.of(KeyedRecord.drop("a"))));
         while (log.calls < 3) {
@@ -307,20 +312,20 @@
         }
         log.failure = MemoryLog.Failure.NONE;
         append.join();
-        ReadOutcome read = log.read(TOPIC, 0, 0, soon());
+        ReadOutcome read = log.read(TOPIC, 0, 0, shortDeadline());
         assertThat(((ReadOutcome.Records) read).records()).hasSize(1);
     }
 
     @Test
-    void keysAreServedOnlyWhileTheConfigurationIsCurrent() {
-        ConfigurationView operators = new ConfigurationView(record -> new OperatorCodec.Published(
+    void callsAreAuthorizedOnlyWhileTheConfigurationIsCurrent() {
+        ConfigurationView configuration = new ConfigurationView(record -> new OperatorCodec.Published(
                 new OperatorConfiguration(1, List.of(QUEUE), Map.of("key", "account"), Map.of(), Set.of("s"))));
-        Term.Dependencies dependencies = new Term.Dependencies(replica, operators, null, TOPICS, routes, null);
-        JobService jobService = new JobService(dependencies, follower, 1, new MetricRegistry());
+        Term.Dependencies dependencies = new Term.Dependencies(replica, configuration, null, TOPICS, routes, null);
+        JobService jobService = new JobService(dependencies, jobConsumer, 1, new MetricRegistry());
         assertThat(jobService.authorize("host", "/p/a", "key"))
                 .isInstanceOf(JobService.Access.StaleConfiguration.class);
-        operators.apply(KeyedRecord.drop("config"), 0);
-        operators.caughtUp(new org.acaciaport.pool.ClockReading(System.nanoTime(), 0), 1);
+        configuration.apply(KeyedRecord.drop("config"), 0);
+        configuration.caughtUp(new org.acaciaport.pool.ClockReading(System.nanoTime(), 0), 1);
         assertThat(jobService.authorize("host", "/p/a", "key"))
                 .isInstanceOf(JobService.Access.StaleConfiguration.class);
     }
--- a/acacia-node/src/test/java/org/acaciaport/node/MemoryLog.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/MemoryLog.java
@@ -11,14 +11,14 @@
 import org.acaciaport.log.NewestOutcome;
 import org.acaciaport.log.ReadOutcome;
 
-/** One topic in memory with the conditions of the shared log; it can be made to fail. */
+/** An in-memory log of a single topic that checks append conditions and can simulate failures. */
 final class MemoryLog implements KeyedLog {
-    /** How calls fail. */
+    /** The failures to simulate. */
     enum Failure {
         NONE,
-        /** Nothing is done. */
+        /** Calls have no effect and report that. */
         REFUSE,
-        /** It is done, and the answer is lost. */
+        /** Appends take effect but their answer is lost. */
         LOSE_ANSWER
     }
 
@@ -29,8 +29,8 @@
     volatile Failure failure = Failure.NONE;
     volatile int calls;
 
-    /** How long the answered reads were allowed to wait for news, in milliseconds. */
-    final List<Long> waits = new CopyOnWriteArrayList<>();
+    /** How long each read that did not fail was allowed to wait for new records, in milliseconds. */
+    final List<Long> readWaits = new CopyOnWriteArrayList<>();
 
     @Override
     public synchronized AppendOutcome append(Append append, long deadline) {
@@ -69,8 +69,8 @@
         return new AppendOutcome.Appended(records.size() - append.records().size());
     }
 
-    /** Drops all but the newest record of each key. */
-    synchronized void forgetHistory() {
+    /** Expires all current records for reads by offset; the newest record of each key remains available. */
+    synchronized void expireRecords() {
         first = records.size();
     }
 
@@ -80,7 +80,7 @@
         if (failure == Failure.REFUSE) {
             return new ReadOutcome.Unavailable("refusing");
         }
-        waits.add(waitMillis);
+        readWaits.add(waitMillis);
         if (from < first) {
             return new ReadOutcome.Expired(first);
         }
--- a/acacia-node/src/test/java/org/acaciaport/node/OrphanDetectorTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/OrphanDetectorTest.java
@@ -8,23 +8,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: a target leaves during a cut, then all nodes lose power. The next leader finds work on a target that is not
- * registered; it used to wait for its report for ever.
+ * Guards against a leader that waits forever for the report of an unregistered target. This happens when a target
+ * leaves during a network partition and all nodes then lose power: the log still shows runs on that target.
  */
 final class OrphanDetectorTest {
-    private final OrphanDetector orphans = new OrphanDetector(1_000);
+    private final OrphanDetector detector = new OrphanDetector(1_000);
 
     @Test
-    void workOnAnUnregisteredTargetIsOverOnceTheLeasesAre() {
-        assertThat(orphans.over(List.of("gone"), Set.of(), new ClockReading(999, 0)))
+    void runsOnAnUnregisteredTargetExpireWithTheLeases() {
+        assertThat(detector.findExpired(List.of("gone"), Set.of(), new ClockReading(999, 0)))
                 .isEmpty();
-        assertThat(orphans.over(List.of("gone"), Set.of(), new ClockReading(1_000, 0)))
+        assertThat(detector.findExpired(List.of("gone"), Set.of(), new ClockReading(1_000, 0)))
                 .containsExactly("gone");
     }
 
     @Test
-    void aTargetThatIsAskedIsJudgedByItsReports() {
-        assertThat(orphans.over(List.of("t"), Set.of("t"), new ClockReading(2_000, 0)))
+    void aPolledTargetIsNotAnOrphan() {
+        assertThat(detector.findExpired(List.of("t"), Set.of("t"), new ClockReading(2_000, 0)))
                 .isEmpty();
     }
 }
--- a/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
@@ -14,84 +14,84 @@
 import org.acaciaport.pool.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** Leases, fences and orders without an answer, against a target in memory. */
+/** Tests leases, fencing tokens and unanswered orders, against an in-memory target. */
 final class TargetSessionTest {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     private final TaskId task = new TaskId("a", 0, 0, 0);
     private final TargetCommand.Start order = new TargetCommand.Start("t", 1, task, 1, "payload", "");
     private final FakeTarget target = new FakeTarget();
     private final Recorder events = new Recorder();
 
-    private TargetSession session(long inheritedNanos) {
-        return new TargetSession(new TargetCalls.Endpoint("t", "host:1"), target, events, 1_000, inheritedNanos);
+    private TargetSession newSession(long earlierLeasesEndNanos) {
+        return new TargetSession(new TargetCalls.Endpoint("t", "host:1"), target, events, 1_000, earlierLeasesEndNanos);
     }
 
-    private TargetSession verified() throws InterruptedException {
-        TargetSession session = session(System.nanoTime() + TimeUnit.HOURS.toNanos(1));
-        session.need(true);
-        assertThat(events.reported.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+    private TargetSession newVerifiedSession() throws InterruptedException {
+        TargetSession session = newSession(System.nanoTime() + TimeUnit.HOURS.toNanos(1));
+        session.setOccupied(true);
+        assertThat(events.reported.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         return session;
     }
 
     /**
-     * Pattern: a target is gone for good while work is on it. Each unanswered report used to ask for a longer lease, so
-     * that the lease never ended and the work never ran again.
+     * Guards against tasks that are never restarted after their target has failed permanently. This happens if each
+     * unanswered request for a report extends the lease that may have been granted, so that it never expires.
      */
     @Test
-    void aTargetThatFallsSilentLapsesInTheEnd() throws Exception {
-        TargetSession session = verified();
-        target.silent.set(true);
-        assertThat(events.lapsed.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+    void theLeaseOfAnUnresponsiveTargetExpires() throws Exception {
+        TargetSession session = newVerifiedSession();
+        target.unresponsive.set(true);
+        assertThat(events.leaseExpired.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         session.close();
     }
 
     @Test
-    void leasesOfAnEarlierLeaderAreWaitedOut() throws Exception {
-        target.silent.set(true);
+    void leasesOfAnEarlierLeaderExpireFirst() throws Exception {
+        target.unresponsive.set(true);
         ClockReading now = Clocks.now();
-        TargetSession session = session(now.nanosAfter(300));
-        session.need(true);
-        assertThat(events.lapsed.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+        TargetSession session = newSession(now.nanosAfter(300));
+        session.setOccupied(true);
+        assertThat(events.leaseExpired.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         assertThat(System.nanoTime()).isGreaterThan(now.nanosAfter(300));
         session.close();
     }
 
     @Test
-    void aStartWithoutAnswerIsSentAgainOnlyUnderAHigherFence() throws Exception {
-        TargetSession session = verified();
+    void anUnansweredStartIsResentOnlyWithAHigherFence() throws Exception {
+        TargetSession session = newVerifiedSession();
         target.loseNextStart.set(true);
         session.start(order);
-        assertThat(events.started.poll(PATIENCE_SECONDS, TimeUnit.SECONDS)).isEqualTo(order);
+        assertThat(events.started.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(order);
         TargetCalls.StartRequest first = target.starts.take();
         TargetCalls.StartRequest second = target.starts.take();
         assertThat(second.fence()).isGreaterThan(first.fence());
-        assertThat(target.fenceSeenBetween).isGreaterThan(first.fence());
+        assertThat(target.lastReportFence).isGreaterThan(first.fence());
         session.close();
     }
 
     @Test
     void aHigherFenceAtTheTargetDeposesTheLeader() throws Exception {
-        TargetSession session = verified();
+        TargetSession session = newVerifiedSession();
         target.fence = Long.MAX_VALUE;
-        assertThat(events.deposed.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(events.deposed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         session.close();
     }
 
-    /** A target that keeps its fence and answers reports, or does not. */
+    /** A target that checks fencing tokens on reports and can be made not to answer. */
     private static final class FakeTarget implements TargetCalls {
-        final AtomicBoolean silent = new AtomicBoolean();
+        final AtomicBoolean unresponsive = new AtomicBoolean();
         final AtomicBoolean loseNextStart = new AtomicBoolean();
         final LinkedBlockingQueue<StartRequest> starts = new LinkedBlockingQueue<>();
         volatile long fence;
-        volatile long fenceSeenBetween;
+        volatile long lastReportFence;
 
         private static long clock() {
             return System.nanoTime() / Clocks.NANOS_PER_MILLI;
         }
 
         @Override
-        public OrderReply start(Endpoint address, StartRequest call, long millis) {
+        public OrderReply start(Endpoint address, StartRequest call, long timeoutMillis) {
             starts.add(call);
             if (loseNextStart.getAndSet(false)) {
                 return new NoAnswer("lost");
@@ -100,29 +100,29 @@
         }
 
         @Override
-        public OrderReply stop(Endpoint address, TaskId id, int run, long token, long millis) {
+        public OrderReply stop(Endpoint address, TaskId id, int run, long token, long timeoutMillis) {
             return new Done(clock());
         }
 
         @Override
-        public ReportReply report(Endpoint address, ReportRequest call, long millis) {
+        public ReportReply report(Endpoint address, ReportRequest call, long timeoutMillis) {
             Clocks.sleep(5);
-            if (silent.get()) {
+            if (unresponsive.get()) {
                 return new NoAnswer("silent");
             }
             if (call.fence() < fence) {
                 return new Refused(RefusalReason.FENCE, OptionalLong.of(clock()));
             }
             fence = call.fence();
-            fenceSeenBetween = fence;
+            lastReportFence = fence;
             return new Reported(clock(), new TargetReport(address.id(), 1, System.nanoTime(), List.of(), List.of()));
         }
     }
 
-    /** Keeps what the session tells. */
+    /** Records the events of a session. */
     private static final class Recorder implements TargetSession.Events {
         final CountDownLatch reported = new CountDownLatch(1);
-        final CountDownLatch lapsed = new CountDownLatch(1);
+        final CountDownLatch leaseExpired = new CountDownLatch(1);
         final CountDownLatch deposed = new CountDownLatch(1);
         final LinkedBlockingQueue<TargetCommand.Start> started = new LinkedBlockingQueue<>();
 
@@ -142,13 +142,13 @@
         }
 
         @Override
-        public void silent(String target, long avoidMillis) {
+        public void unresponsive(String target, long avoidMillis) {
             assertThat(avoidMillis).isGreaterThan(0);
         }
 
         @Override
-        public void lapsed(String target) {
-            lapsed.countDown();
+        public void leaseExpired(String target) {
+            leaseExpired.countDown();
         }
 
         @Override
@@ -157,7 +157,7 @@
         }
 
         @Override
-        public boolean leads() {
+        public boolean isLeading() {
             return true;
         }
     }
