--- a/acacia-node/src/main/java/org/acaciaport/node/Node.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Node.java
@@ -64,7 +64,7 @@
      * The external systems that a node uses.
      *
      * @param log the shared log
-     * @param calls sends orders to targets
+     * @param calls sends commands to targets
      * @param operators decodes the operators' records
      * @param targets decodes the registrations of targets
      */
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetCalls.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetCalls.java
@@ -4,7 +4,7 @@
 import org.acaciaport.pool.TargetReport;
 import org.acaciaport.pool.TaskId;
 
-/** Sends orders to targets. Implementations are thread-safe; calls block no longer than their timeout. */
+/** Sends commands to targets. Implementations are thread-safe; calls block no longer than their timeout. */
 public interface TargetCalls {
     /**
      * The target to call.
@@ -30,36 +30,36 @@
      * A request for a report, which also renews the lease.
      *
      * @param fence fencing token
-     * @param acknowledged number of the last end that need not be reported again
+     * @param acknowledged number of the last ended run that need not be reported again
      * @param leaseEndMillis end of the requested lease, on the target's clock, in milliseconds; empty to not renew it
      * @param waitMillis how long the target may hold back the report until a run ends, in milliseconds
      */
     record ReportRequest(long fence, long acknowledged, OptionalLong leaseEndMillis, long waitMillis) {}
 
     /** Starts a run. */
-    OrderReply start(Endpoint target, StartRequest call, long timeoutMillis);
+    CommandReply start(Endpoint target, StartRequest call, long timeoutMillis);
 
     /** Stops a run; if it has not started, the target rejects a later start of it. */
-    OrderReply stop(Endpoint target, TaskId task, int run, long fence, long timeoutMillis);
+    CommandReply stop(Endpoint target, TaskId task, int run, long fence, long timeoutMillis);
 
     /** Requests a report. */
     ReportReply report(Endpoint target, ReportRequest call, long timeoutMillis);
 
-    /** The reply to an order. */
-    sealed interface OrderReply {}
+    /** The reply to a command. */
+    sealed interface CommandReply {}
 
     /** The reply to a request for a report. */
     sealed interface ReportReply {}
 
-    /** A failed order or request. */
-    sealed interface Failure extends OrderReply, ReportReply {}
+    /** A failed command or request. */
+    sealed interface Failure extends CommandReply, ReportReply {}
 
     /**
-     * The order was carried out.
+     * The command was carried out.
      *
      * @param clockMillis reading of the target's clock
      */
-    record Done(long clockMillis) implements OrderReply {}
+    record Done(long clockMillis) implements CommandReply {}
 
     /**
      * A report.
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
@@ -8,14 +8,14 @@
 import org.jboss.logging.Logger;
 
 /**
- * The leader's session with one target: renews its lease, sends it orders, and determines their outcomes.
+ * The leader's session with one target: renews its lease, sends it commands, and determines their outcomes.
  *
  * <p>Thread-safe. Invariants:
  *
  * <ul>
- *   <li>Every order carries a fencing token of this term.
- *   <li>After a start order without an answer, the fencing token is incremented before its outcome is determined from a
- *       report, so that the target rejects a delayed copy of the order.
+ *   <li>Every command carries a fencing token of this term.
+ *   <li>After a start command without an answer, the fencing token is incremented before its outcome is determined from
+ *       a report, so that the target rejects a delayed copy of the command.
  *   <li>The lease counts as expired only after the latest lease that may have been granted has ended on the target's
  *       own clock.
  *   <li>The lease of a target that does not answer is not renewed, so that it expires eventually.
@@ -30,10 +30,10 @@
     /** Timeout of a report beyond the time for which the target may hold it back, in milliseconds. */
     private static final long REPORT_TIMEOUT_MARGIN_MILLIS = 600;
 
-    /** Timeout of an order, in milliseconds; after it, the outcome is determined from a report. */
-    private static final long ORDER_TIMEOUT_MILLIS = 300;
+    /** Timeout of a command, in milliseconds; the outcome of a start is then determined from a report. */
+    private static final long COMMAND_TIMEOUT_MILLIS = 300;
 
-    /** How long to wait until the ends just reported are durable before the next report, in milliseconds. */
+    /** How long to wait until the reported ends of runs are durable before the next report, in milliseconds. */
     private static final long DURABLE_WAIT_MILLIS = 200;
 
     /**
@@ -45,7 +45,7 @@
     /** How long a target that did not answer gets no new work, in milliseconds. */
     private static final long AVOID_MILLIS = 700;
 
-    /** Age from which a start order that had no effect is abandoned rather than sent again, in milliseconds. */
+    /** Age from which a start command that had no effect is abandoned rather than sent again, in milliseconds. */
     private static final long RESEND_LIMIT_MILLIS = 1_500;
 
     /** Receives the events of a session, on the session's threads. Implementations must not block. */
@@ -72,14 +72,14 @@
         /** Called when the target has seen the fencing token of a later leader. */
         void deposed(String target);
 
-        /** Returns whether the term was confirmed recently enough to send orders and renew leases. */
+        /** Returns whether the term was confirmed recently enough to send commands and renew leases. */
         boolean isLeading();
     }
 
     /**
-     * A start order whose outcome is unknown.
+     * A start command whose outcome is unknown.
      *
-     * @param start the order
+     * @param start the command
      * @param fence fencing token that it was sent with
      * @param sentNanos when it was first sent, on the monotonic clock, in nanoseconds
      */
@@ -96,10 +96,10 @@
     /** Confirmed incarnation of the target; 0 until a report confirms it. */
     private long incarnation;
 
-    /** Number of the last end that is durable and need not be reported again. */
+    /** Number of the last ended run whose record is durable, so that the target need not report it again. */
     private long lastAcknowledgedEnd;
 
-    /** Number of the last end that was reported. */
+    /** Number of the last ended run that the target has reported. */
     private long lastReportedEnd;
 
     private final TargetLease lease;
@@ -126,7 +126,10 @@
         endpoint = changed;
     }
 
-    /** Sets whether the target may have runs, and starts polling it for reports if needed. */
+    /**
+     * Sets whether the target may have runs, and starts polling it for reports if needed. A target whose incarnation is
+     * not confirmed is polled at least once.
+     */
     synchronized void setOccupied(boolean occupied) {
         this.occupied = occupied;
         if (needsReport() && thread == null && !closed) {
@@ -134,7 +137,9 @@
         }
     }
 
-    /** Returns whether a report is needed: for runs, the incarnation, unacknowledged ends or unanswered starts. */
+    /**
+     * Returns whether a report is needed: for runs, the incarnation, unacknowledged ended runs or unanswered starts.
+     */
     private boolean needsReport() {
         return occupied || incarnation == 0 || lastReportedEnd > lastAcknowledgedEnd || !unansweredStarts.isEmpty();
     }
@@ -153,7 +158,7 @@
         notifyAll();
     }
 
-    /** Records that the ends of incarnation {@code ofIncarnation} up to number {@code upTo} are durable. */
+    /** Records that the ended runs of {@code ofIncarnation} up to number {@code upTo} are durable. */
     synchronized void acknowledge(long ofIncarnation, long upTo) {
         if (ofIncarnation == incarnation && upTo > lastAcknowledgedEnd) {
             lastAcknowledgedEnd = upTo;
@@ -197,7 +202,7 @@
         return idle ? REPORT_WAIT_MILLIS : 0;
     }
 
-    /** Waits until the reported ends are acknowledged, or a limit, so that the next report does not repeat them. */
+    /** Waits a limited time until the reported ended runs are acknowledged, so that the next report omits them. */
     private synchronized void awaitDurable() {
         long deadline = Clocks.deadlineAfter(DURABLE_WAIT_MILLIS);
         while (lastReportedEnd > lastAcknowledgedEnd && !closed && Clocks.millisUntil(deadline) > 0) {
@@ -318,7 +323,7 @@
         }
     }
 
-    /** Sends a start order; its record must be durable. */
+    /** Sends a start command; its record must be durable. */
     void start(TargetCommand.Start start) {
         send(start, System.nanoTime());
     }
@@ -336,7 +341,7 @@
                     start.task(), start.run(), start.payload(), start.checkpoint(), leaseEnd.getAsLong(), fence());
             target = endpoint;
         }
-        switch (calls.start(target, call, ORDER_TIMEOUT_MILLIS)) {
+        switch (calls.start(target, call, COMMAND_TIMEOUT_MILLIS)) {
             case TargetCalls.Done done -> {
                 recordClock(done.clockMillis());
                 events.started(start);
@@ -387,7 +392,7 @@
         }
     }
 
-    /** Sends a stop order. If it is lost, the pool orders another stop when a report still shows the run. */
+    /** Sends a stop command. If it is lost, the pool issues another one when a report still shows the run. */
     void stop(TargetCommand.Stop stop) {
         TargetCalls.Endpoint target;
         synchronized (this) {
@@ -396,7 +401,7 @@
         if (!events.isLeading()) {
             return;
         }
-        TargetCalls.OrderReply reply = calls.stop(target, stop.task(), stop.run(), fence(), ORDER_TIMEOUT_MILLIS);
+        TargetCalls.CommandReply reply = calls.stop(target, stop.task(), stop.run(), fence(), COMMAND_TIMEOUT_MILLIS);
         LOG.infof(
                 "stop: request=%s task=%s run=%s target=%s outcome=%s",
                 stop.task().job(), stop.task(), stop.run(), id, reply.getClass().getSimpleName());
--- a/acacia-node/src/main/java/org/acaciaport/node/Term.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Term.java
@@ -25,7 +25,7 @@
  * One term of this node as leader: schedules the pool from the time the log has been read completely until the term
  * ends.
  *
- * <p>Only the thread in {@link #run} uses the pool; other threads post events to it. A start order is sent only after
+ * <p>Only the thread in {@link #run} uses the pool; other threads post events to it. A start command is sent only after
  * the record of that start is durable.
  */
 final class Term implements TargetSession.Events, Replica.Listener {
@@ -103,7 +103,7 @@
      *
      * @param replica local copy of the scheduler's records
      * @param configuration the operators' configuration
-     * @param calls sends orders to targets
+     * @param calls sends commands to targets
      * @param topics topics in the shared log
      * @param log the shared log
      * @param codec decodes target registrations
@@ -208,7 +208,7 @@
         });
     }
 
-    /** Releases the orders of a durable batch; ends the term if the log rejected the append. */
+    /** Releases the commands of a durable batch; ends the term if the log rejected the append. */
     private void handleAppendResult(boolean appended, Batch batch) {
         appendInFlight = false;
         if (!appended) {
@@ -218,7 +218,7 @@
         releaseBatch(batch);
     }
 
-    /** Sends the start orders and acknowledgements that depended on the records of {@code batch}. */
+    /** Sends the start commands and acknowledgements that depended on the records of {@code batch}. */
     private void releaseBatch(Batch batch) {
         for (TargetCommand.Start start : batch.starts()) {
             TargetSession session = getOrCreateSession(start.target());
--- a/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
@@ -14,12 +14,12 @@
 import org.acaciaport.pool.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** Tests leases, fencing tokens and unanswered orders, against an in-memory target. */
+/** Tests leases, fencing tokens and unanswered commands, against an in-memory target. */
 final class TargetSessionTest {
     private static final long TIMEOUT_SECONDS = 20;
 
     private final TaskId task = new TaskId("a", 0, 0, 0);
-    private final TargetCommand.Start order = new TargetCommand.Start("t", 1, task, 1, "payload", "");
+    private final TargetCommand.Start start = new TargetCommand.Start("t", 1, task, 1, "payload", "");
     private final FakeTarget target = new FakeTarget();
     private final Recorder events = new Recorder();
 
@@ -61,8 +61,8 @@
     void anUnansweredStartIsResentOnlyWithAHigherFence() throws Exception {
         TargetSession session = newVerifiedSession();
         target.loseNextStart.set(true);
-        session.start(order);
-        assertThat(events.started.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(order);
+        session.start(start);
+        assertThat(events.started.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(start);
         TargetCalls.StartRequest first = target.starts.take();
         TargetCalls.StartRequest second = target.starts.take();
         assertThat(second.fence()).isGreaterThan(first.fence());
@@ -91,7 +91,7 @@
         }
 
         @Override
-        public OrderReply start(Endpoint address, StartRequest call, long timeoutMillis) {
+        public CommandReply start(Endpoint address, StartRequest call, long timeoutMillis) {
             starts.add(call);
             if (loseNextStart.getAndSet(false)) {
                 return new NoAnswer("lost");
@@ -100,7 +100,7 @@
         }
 
         @Override
-        public OrderReply stop(Endpoint address, TaskId id, int run, long token, long timeoutMillis) {
+        public CommandReply stop(Endpoint address, TaskId id, int run, long token, long timeoutMillis) {
             return new Done(clock());
         }
 
