--- a/acacia-wire/src/main/java/org/acaciaport/wire/Codecs.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/Codecs.java
@@ -26,9 +26,10 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * The encodings of all records: JSON towards callers, operators and the platform, MessagePack between the programs.
+ * Object mappers for all records: JSON for callers, operators and the platform, MessagePack between the programs.
  *
- * <p>Unknown, missing, repeated and wrongly typed fields are errors. The mappers are safe for use by several threads.
+ * <p>Record components are written in kebab case. Unknown, missing, repeated and wrongly typed fields are errors. The
+ * mappers are thread-safe.
  */
 public final class Codecs {
     private static final ObjectMapper JSON = configure(JsonMapper.builder(JsonFactory.builder()
@@ -36,7 +37,7 @@
                     .build()))
             .build();
 
-    /** Its parser reports the end of the bytes as an error when asked for trailing tokens. */
+    /** Does not check for trailing tokens, since the MessagePack parser throws when the input ends. */
     private static final ObjectMapper MESSAGE_PACK = configure(new MessagePackMapperBuilder())
             .disable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
@@ -53,7 +54,7 @@
         return MESSAGE_PACK;
     }
 
-    /** Applies the common strictness, names and variants to {@code builder}. */
+    /** Configures {@code builder} with the strictness, field names and subtype names common to all encodings. */
     public static <M extends ObjectMapper, B extends MapperBuilder<M, B>> B configure(B builder) {
         return builder.propertyNamingStrategy(PropertyNamingStrategies.KEBAB_CASE)
                 .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
@@ -62,7 +63,7 @@
                 .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                 .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                 .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
-                .withCoercionConfig(LogicalType.Textual, Codecs::onlyText)
+                .withCoercionConfig(LogicalType.Textual, Codecs::rejectNonStrings)
                 .addMixIn(Adjacency.class, AdjacencyNames.class)
                 .addMixIn(Treatment.class, TreatmentNames.class)
                 .addMixIn(Outcome.class, OutcomeNames.class)
@@ -73,7 +74,7 @@
                 .addMixIn(NewestOutcome.class, NewestOutcomeNames.class);
     }
 
-    private static void onlyText(MutableCoercionConfig coercions) {
+    private static void rejectNonStrings(MutableCoercionConfig coercions) {
         coercions
                 .setCoercion(CoercionInputShape.Integer, CoercionAction.Fail)
                 .setCoercion(CoercionInputShape.Float, CoercionAction.Fail)
--- a/acacia-wire/src/main/java/org/acaciaport/wire/Frames.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/Frames.java
@@ -5,12 +5,13 @@
 import java.io.IOException;
 
 /**
- * Reads and writes envelopes, each behind its length in four bytes.
+ * Reads and writes envelopes as frames: the length of the body as a four-byte big-endian integer, then the body in
+ * MessagePack.
  *
- * <p>Stateless and safe for use by several threads, but a stream must have one reader and one writer at a time.
+ * <p>Stateless. A stream must be used by at most one reader and one writer at a time.
  */
 final class Frames {
-    /** Longest frame, in bytes; larger than the largest request body and answer allowed. */
+    /** Maximum length of a body, in bytes; exceeds the largest request body and answer that callers may send or get. */
     static final int MAX_BYTES = 8 << 20;
 
     private Frames() {}
@@ -18,7 +19,7 @@
     static void write(DataOutputStream out, Envelope envelope) throws IOException {
         byte[] body = Codecs.messagePack().writeValueAsBytes(envelope);
         if (body.length > MAX_BYTES) {
-            throw new IOException("frame of " + body.length + " bytes is over " + MAX_BYTES + "; send less at once");
+            throw new IOException("frame of " + body.length + " bytes exceeds " + MAX_BYTES + "; send less at once");
         }
         out.writeInt(body.length);
         out.write(body);
@@ -29,15 +30,15 @@
         int length = in.readInt();
         if (length <= 0 || length > MAX_BYTES) {
             throw new IOException(
-                    "frame length " + length + " is not 1 to " + MAX_BYTES + "; check the peer's program");
+                    "frame length " + length + " is not 1 to " + MAX_BYTES + "; check that the peer runs this program");
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("connection closed within a frame");
+            throw new IOException("connection was closed in the middle of a frame");
         }
         Envelope envelope = Codecs.messagePack().readValue(body, Envelope.class);
         if (envelope.version() != Envelope.VERSION) {
-            throw new IOException("peer speaks version " + envelope.version() + ", not " + Envelope.VERSION
+            throw new IOException("peer uses protocol version " + envelope.version() + ", not " + Envelope.VERSION
                     + "; run the same release on both");
         }
         return envelope;
--- a/acacia-wire/src/main/java/org/acaciaport/wire/Message.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/Message.java
@@ -11,10 +11,10 @@
 import org.acaciaport.request.Outcome;
 
 /**
- * What the programs say to each other. Every query has one reply. All variants are immutable.
+ * A message between two programs: a query or the reply to one.
  *
- * <p>Times are spans in milliseconds, since the clocks of two machines need not agree; the receiver turns them into
- * deadlines of its own.
+ * <p>Every query has exactly one reply. All messages are immutable. Times are durations in milliseconds, since the
+ * clocks of two machines need not agree; the receiver computes deadlines on its own clock.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "m")
 @JsonSubTypes({
@@ -40,32 +40,36 @@
     @JsonSubTypes.Type(value = Message.NewestRead.class, name = "newest-read")
 })
 public sealed interface Message {
-    /** Asks whether the other end is alive. */
+    /** Checks whether the peer responds; answered by {@link Pong}. */
     record Ping() implements Message {}
 
     /** Answers {@link Ping}. */
     record Pong() implements Message {}
 
-    /** What the nodes say to each other so that one of them reaches the log through another. */
+    /** A message by which a node reaches the log through another node. */
     sealed interface LogMessage extends Message {}
 
-    /** Asks the peer to append for a process that cannot reach the log; answered by {@link LogAppended}. */
+    /**
+     * Asks the peer to append to the log on behalf of the sender, which cannot reach it; answered by
+     * {@link LogAppended}.
+     */
     record AppendLog(Append append) implements LogMessage {}
 
     /**
-     * Asks the peer to read for a process that cannot reach the log; answered by {@link LogRead}.
+     * Asks the peer to read from the log on behalf of the sender, which cannot reach it; answered by {@link LogRead}.
      *
-     * @param topic name of the topic
-     * @param from first offset wanted
-     * @param waitMillis how long to wait for a record, in milliseconds
+     * @param topic the name of the topic
+     * @param from the first offset to read
+     * @param waitMillis how long to wait for a record if there is none, in milliseconds
      */
     record ReadLog(String topic, long from, long waitMillis) implements LogMessage {}
 
     /**
-     * Asks the peer for the newest records; answered by {@link NewestRead}.
+     * Asks the peer to read the newest record of each key on behalf of the sender, which cannot reach the log; answered
+     * by {@link NewestRead}.
      *
-     * @param topic name of the topic
-     * @param after the last key already seen; empty for the first page
+     * @param topic the name of the topic
+     * @param after the last key of the previous page; empty for the first page
      */
     record ReadNewest(String topic, String after) implements LogMessage {}
 
@@ -79,92 +83,93 @@
     record NewestRead(NewestOutcome outcome) implements LogMessage {}
 
     /**
-     * Hands in a request; answered by {@link Status}, {@link Elsewhere} or {@link Refused}.
+     * Submits a request; answered by {@link Status}, {@link Elsewhere} or {@link Refused}.
      *
-     * @param account name of the client account
-     * @param profile name of the profile
-     * @param key idempotency key
-     * @param payload opaque input
+     * @param account the name of the client account
+     * @param profile the name of the profile
+     * @param key the idempotency key
+     * @param payload the input of the request, which is not interpreted
      */
     record Submit(String account, String profile, String key, String payload) implements Message {}
 
     /**
      * Asks for a request's status; answered by {@link Status}, {@link Elsewhere} or {@link Refused}.
      *
-     * @param request identifier of the request
-     * @param waitMillis how long to wait for its final answer, in milliseconds
+     * @param request the id of the request
+     * @param waitMillis how long to wait for its outcome, in milliseconds
      */
     record Find(String request, long waitMillis) implements Message {}
 
     /** Asks to cancel a request; answered like {@link Find}. */
     record Cancel(String request) implements Message {}
 
-    /** Asks for the decisions about a request; answered by {@link Explanation}. */
+    /** Asks which decisions were made about a request; answered by {@link Explanation}. */
     record Explain(String request) implements Message {}
 
     /**
-     * Asks how a scheduler sees the system; answered by {@link View}.
+     * Asks for a scheduler's view of the system; answered by {@link View}.
      *
-     * @param revision newest revision that the asker holds
+     * @param revision the newest configuration revision that the sender holds
      */
     record Look(long revision) implements Message {}
 
-    /** Asks for the targets of the scheduler's data centre; answered by {@link Targets}. */
+    /** Asks for the targets of the scheduler's data centre; answered by {@link Targets} or {@link Elsewhere}. */
     record ListTargets() implements Message {}
 
     /**
-     * Where a request stands.
+     * The state of a request.
      *
-     * @param request its identifier
+     * @param request the id of the request
      * @param account its client account
      * @param key its idempotency key
-     * @param state one word: queued, claiming, reserving, committing, running, paused, handing-over or an outcome
-     * @param outcome its final answer; null if none yet
+     * @param state one of queued, claiming, reserving, committing, running, paused and handing-over, or the name of the
+     *     outcome
+     * @param outcome the outcome; null if the request has not ended
      */
     record Status(String request, String account, String key, String state, Outcome outcome) implements Message {}
 
     /**
-     * Another scheduler answers for this.
+     * A redirect to the leader of a data centre, which can answer the query.
      *
-     * @param dataCentre its data centre
-     * @param address its address as IP:PORT; empty if not known
+     * @param dataCentre the data centre
+     * @param address the address of its leader as IP:PORT; empty if unknown
      */
     record Elsewhere(String dataCentre, String address) implements Message {}
 
     /**
-     * The query is refused; nothing was changed.
+     * A refusal of the query, which had no effect.
      *
-     * @param kind one word that programs can act on
-     * @param reason what is wrong
-     * @param remedy what to do
+     * @param kind the kind of refusal, for programs
+     * @param reason why the query was refused, for people
+     * @param remedy what to do about it, for people
      */
     record Refused(Kind kind, String reason, String remedy) implements Message {
-        /** Kinds of refusal. */
+        /** The kind of a refusal. */
         public enum Kind {
-            /** The query itself is wrong. */
+            /** The query is invalid. */
             INVALID,
-            /** The key was used with other content. */
+            /** The idempotency key was already used for a request with other content. */
             KEY_CONFLICT,
-            /** No such request is known. */
+            /** There is no such request. */
             NOT_FOUND,
-            /** It cannot be done now. */
+            /** The query cannot be carried out now but may be later. */
             UNAVAILABLE
         }
     }
 
-    /** The decisions about a request, oldest first, one line each. */
+    /** The decisions made about a request, one per line, oldest first. */
     record Explanation(List<String> lines) implements Message {}
 
     /**
-     * How one scheduler sees the system.
+     * A scheduler's view of the system.
      *
-     * @param dataCentre its data centre
-     * @param leads whether it leads there
-     * @param epoch newest epoch that it knows there
-     * @param logAvailable whether it can reach the log
-     * @param waiting requests waiting there; 0 unless it leads
-     * @param revision newest revision that it holds
-     * @param active the configuration of that revision; null if the asker holds it already
+     * @param dataCentre the scheduler's data centre
+     * @param leads whether the scheduler is the leader of that data centre
+     * @param epoch the newest epoch of that data centre known to the scheduler
+     * @param logAvailable whether the scheduler can reach the log
+     * @param waiting the number of requests waiting in that data centre; 0 unless the scheduler is its leader
+     * @param revision the newest configuration revision that the scheduler holds
+     * @param active the configuration of that revision; null if the sender of the query holds it already
      */
     record View(
             String dataCentre,
@@ -180,15 +185,15 @@
     record Targets(List<TargetLine> lines) implements Message {}
 
     /**
-     * One target in short.
+     * A summary of one target.
      *
-     * @param target its identifier
+     * @param target the id of the target
      * @param rack its rack
-     * @param state one word: live, leaving, unreachable or probation
-     * @param accelerators its accelerators
-     * @param used accelerators in use
-     * @param claimed accelerators promised to waiting claims
-     * @param tasks requests with work on it
+     * @param state one of live, leaving, unreachable and probation
+     * @param accelerators the number of its accelerators
+     * @param used the number of accelerators in use
+     * @param claimed the number of accelerators set aside for waiting claims
+     * @param tasks the number of requests with work on it
      */
     record TargetLine(String target, String rack, String state, int accelerators, int used, int claimed, int tasks) {}
 }
--- a/acacia-wire/src/main/java/org/acaciaport/wire/WireClient.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/WireClient.java
@@ -17,70 +17,76 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A connection to another program that carries many exchanges at once.
+ * A client of one {@link WireServer} that multiplexes concurrent queries over a single TCP connection.
  *
- * <p>Safe for use by several threads. The connection is opened at the first query and replaced after an error. One that
- * leaves a query unanswered is probed, and replaced when the probe stays unanswered too, so a peer that is merely slow
- * keeps its connection.
+ * <p>Thread-safe. The connection is opened by the first query and replaced after an error. If a query stays unanswered
+ * while nothing else arrives on the connection, the client sends a {@link Message.Ping}; only if that times out as well
+ * is the connection closed, so a peer that answers slowly keeps its connection.
  */
 public final class WireClient implements Closeable {
-    private static final int CONNECT_MILLIS = 400;
-    private static final long PROBE_MILLIS = 1_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 400;
+    private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
-    /** Pause after a failed connection in which further queries fail at once, in milliseconds. */
-    private static final long RECONNECT_MILLIS = 300;
+    /** Time after a failed connection attempt during which queries fail at once without another attempt. */
+    private static final long RECONNECT_BACKOFF_MILLIS = 300;
 
-    /** Longest time without a word from a connection on which queries wait, in milliseconds. */
-    private static final long SILENCE_MILLIS = 2_000;
+    /** Time without incoming data after which a connection with an unanswered query is probed. */
+    private static final long SILENCE_THRESHOLD_MILLIS = 2_000;
 
     private final InetSocketAddress address;
     private final Object lock = new Object();
-    private Link link;
-    private boolean failed;
+    private Connection connection;
 
-    /** When the next connection may be tried after one failed, as a reading of {@link System#nanoTime}. */
-    private long retryAt;
+    /** Whether the last attempt to connect failed. */
+    private boolean connectFailed;
+
+    /** Earliest time of the next attempt after a failed one, as a value of {@link System#nanoTime}. */
+    private long nextConnectNanos;
 
     private WireClient(InetSocketAddress address) {
         this.address = address;
     }
 
-    /** Returns a client of the program at {@code address}; connects when first used. */
+    /** Returns a client of the server at {@code address}. The connection is opened by the first query. */
     public static WireClient of(InetSocketAddress address) {
         return new WireClient(address);
     }
 
     /**
-     * Sends {@code query} and waits for its reply.
+     * Sends {@code query} and blocks until its reply arrives or the timeout expires.
      *
-     * @param timeoutMillis longest time to wait for the reply, in milliseconds
+     * @param timeoutMillis the timeout, in milliseconds; also sent along, so that the server knows how long the client
+     *     waits
      * @throws WireException if the query could not be sent or no reply arrived within the timeout
      */
     public Message call(Message query, long timeoutMillis) throws WireException {
-        Link current = open();
+        Connection current = open();
         CompletableFuture<Message> reply = current.send(query, timeoutMillis);
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (true) {
-            long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+            long remaining = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
             try {
-                return reply.get(Math.max(1, Math.min(left, SILENCE_MILLIS)), TimeUnit.MILLISECONDS);
+                return reply.get(Math.max(1, Math.min(remaining, SILENCE_THRESHOLD_MILLIS)), TimeUnit.MILLISECONDS);
             } catch (TimeoutException e) {
-                if (!current.answers()) {
+                if (!current.isResponsive()) {
                     close(current);
                     throw new WireException(
-                            WireException.Kind.NO_REPLY, "connection to " + address + " went silent; ask again", e);
+                            WireException.Kind.NO_REPLY,
+                            "connection to " + address + " does not answer a ping; try again",
+                            e);
                 }
-                if (left <= SILENCE_MILLIS) {
+                if (remaining <= SILENCE_THRESHOLD_MILLIS) {
                     throw new WireException(
-                            WireException.Kind.NO_REPLY, "no reply from " + address + " in time; ask again", e);
+                            WireException.Kind.NO_REPLY, "no reply from " + address + " in time; try again", e);
                 }
             } catch (ExecutionException e) {
                 close(current);
                 throw new WireException(
-                        WireException.Kind.NO_REPLY, "connection to " + address + " was lost; ask again", e);
+                        WireException.Kind.NO_REPLY, "connection to " + address + " was lost; try again", e);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new WireException(WireException.Kind.NO_REPLY, "interrupted; ask again", e);
+                throw new WireException(
+                        WireException.Kind.NO_REPLY, "interrupted while waiting for a reply; try again", e);
             }
         }
     }
@@ -88,86 +94,91 @@
     @Override
     public void close() {
         synchronized (lock) {
-            if (link != null) {
-                link.close();
-                link = null;
+            if (connection != null) {
+                connection.close();
+                connection = null;
             }
         }
     }
 
-    private void close(Link broken) {
+    private void close(Connection broken) {
         broken.close();
         synchronized (lock) {
-            if (link == broken) {
-                link = null;
+            if (connection == broken) {
+                connection = null;
             }
         }
     }
 
-    private Link open() throws WireException {
+    private Connection open() throws WireException {
         synchronized (lock) {
-            if (link != null && !link.closed()) {
-                return link;
+            if (connection != null && !connection.isClosed()) {
+                return connection;
             }
-            if (failed && System.nanoTime() - retryAt < 0) {
+            if (connectFailed && System.nanoTime() - nextConnectNanos < 0) {
                 throw new WireException(
-                        WireException.Kind.NOT_SENT, "could not connect to " + address + " just now", null);
+                        WireException.Kind.NOT_SENT,
+                        "the last attempt to connect to " + address + " failed; try again later",
+                        null);
             }
             try {
-                link = new Link(address);
-                failed = false;
-                return link;
+                connection = new Connection(address);
+                connectFailed = false;
+                return connection;
             } catch (IOException e) {
-                failed = true;
-                retryAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECONNECT_MILLIS);
+                connectFailed = true;
+                nextConnectNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RECONNECT_BACKOFF_MILLIS);
                 throw new WireException(
                         WireException.Kind.NOT_SENT,
-                        "cannot connect to " + address + " (" + e.getMessage() + "); check that it runs",
+                        "cannot connect to " + address + " (" + e.getMessage() + "); check that the program runs",
                         e);
             }
         }
     }
 
-    /** One open connection with its reader. */
-    private static final class Link {
+    /** An open connection and the thread that reads replies from it. */
+    private static final class Connection {
         private final Socket socket = new Socket();
         private final DataOutputStream out;
+
+        /** Replies that have not arrived, by the number of the exchange. */
         private final Map<Long, CompletableFuture<Message>> pending = new ConcurrentHashMap<>();
-        private final AtomicLong exchanges = new AtomicLong();
-        private volatile long heardAt = System.nanoTime();
+
+        private final AtomicLong lastExchange = new AtomicLong();
+        private volatile long lastReceivedNanos = System.nanoTime();
         private volatile boolean closed;
 
-        Link(InetSocketAddress address) throws IOException {
-            socket.connect(address, CONNECT_MILLIS);
+        Connection(InetSocketAddress address) throws IOException {
+            socket.connect(address, CONNECT_TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
             out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
             DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-            Thread.ofVirtual().name("wire-reader-" + address).start(() -> read(in));
+            Thread.ofVirtual().name("wire-reader-" + address).start(() -> readReplies(in));
         }
 
-        CompletableFuture<Message> send(Message query, long millis) throws WireException {
-            long exchange = exchanges.incrementAndGet();
+        CompletableFuture<Message> send(Message query, long timeoutMillis) throws WireException {
+            long exchange = lastExchange.incrementAndGet();
             CompletableFuture<Message> reply = new CompletableFuture<>();
             pending.put(exchange, reply);
             reply.whenComplete((message, error) -> pending.remove(exchange));
             try {
                 synchronized (out) {
-                    Frames.write(out, new Envelope(Envelope.VERSION, exchange, false, millis, query));
+                    Frames.write(out, new Envelope(Envelope.VERSION, exchange, false, timeoutMillis, query));
                 }
             } catch (IOException e) {
                 close();
-                throw new WireException(WireException.Kind.NO_REPLY, "connection was lost while sending; ask again", e);
+                throw new WireException(WireException.Kind.NO_REPLY, "connection was lost while sending; try again", e);
             }
             return reply;
         }
 
-        /** Returns whether the peer said anything lately or answers a probe now. */
-        boolean answers() {
-            if (System.nanoTime() - heardAt < TimeUnit.MILLISECONDS.toNanos(SILENCE_MILLIS)) {
+        /** Returns whether the peer has sent anything recently or answers a ping now. Blocks for the ping. */
+        boolean isResponsive() {
+            if (System.nanoTime() - lastReceivedNanos < TimeUnit.MILLISECONDS.toNanos(SILENCE_THRESHOLD_MILLIS)) {
                 return true;
             }
             try {
-                send(new Message.Ping(), PROBE_MILLIS).get(PROBE_MILLIS, TimeUnit.MILLISECONDS);
+                send(new Message.Ping(), PROBE_TIMEOUT_MILLIS).get(PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 return true;
             } catch (TimeoutException | ExecutionException | WireException e) {
                 return false;
@@ -177,11 +188,11 @@
             }
         }
 
-        private void read(DataInputStream in) {
+        private void readReplies(DataInputStream in) {
             try {
                 while (true) {
                     Envelope envelope = Frames.read(in);
-                    heardAt = System.nanoTime();
+                    lastReceivedNanos = System.nanoTime();
                     CompletableFuture<Message> reply = pending.get(envelope.exchange());
                     if (reply != null && envelope.reply()) {
                         reply.complete(envelope.message());
@@ -193,7 +204,7 @@
             }
         }
 
-        boolean closed() {
+        boolean isClosed() {
             return closed;
         }
 
@@ -202,7 +213,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // The socket is given up either way.
+                // Nothing to do: the connection is no longer used.
             }
         }
     }
--- a/acacia-wire/src/main/java/org/acaciaport/wire/WireServer.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/WireServer.java
@@ -18,24 +18,24 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Accepts connections from other programs and answers their queries.
+ * A server that accepts connections from {@link WireClient}s and answers their queries concurrently.
  *
- * <p>Safe for use by several threads. At most {@value #MAX_CONNECTIONS} connections are open and at most
- * {@value #MAX_QUERIES} queries of one connection are in work; a connection without a word for {@value #IDLE_MILLIS}
- * milliseconds is closed.
+ * <p>Thread-safe. At most {@value #MAX_CONNECTIONS} connections are open; further ones are closed on arrival. At most
+ * {@value #MAX_QUERIES_PER_CONNECTION} queries of one connection are in progress; further ones wait until one
+ * of them is answered. A connection on which nothing arrives for {@value #IDLE_TIMEOUT_MILLIS} milliseconds is closed.
  */
 public final class WireServer implements Closeable {
     private static final int MAX_CONNECTIONS = 1_024;
-    private static final int MAX_QUERIES = 1_024;
-    private static final int IDLE_MILLIS = 60_000;
-    private static final long DRAIN_STEP_MILLIS = 20;
+    private static final int MAX_QUERIES_PER_CONNECTION = 1_024;
+    private static final int IDLE_TIMEOUT_MILLIS = 60_000;
+    private static final long DRAIN_POLL_MILLIS = 20;
 
-    /** Answers queries. Called by several threads at once. */
+    /** A callback that answers queries. Implementations must be thread-safe. */
     public interface Handler {
         /**
-         * Answers {@code query}.
+         * Returns the reply to {@code query}.
          *
-         * @param deadline when the asker stops waiting, as a reading of {@link System#nanoTime}
+         * @param deadline when the client stops waiting, as a value of {@link System#nanoTime}
          */
         Message answer(Message query, long deadline);
     }
@@ -44,7 +44,7 @@
     private final Handler handler;
     private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger working = new AtomicInteger();
+    private final AtomicInteger queriesInProgress = new AtomicInteger();
 
     private WireServer(ServerSocket listener, Handler handler) {
         this.listener = listener;
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Starts listening on {@code address}.
+     * Returns a server that listens on {@code address}.
      *
      * @throws IOException if the address cannot be bound
      */
@@ -61,21 +61,25 @@
         listener.setReuseAddress(true);
         listener.bind(address);
         WireServer server = new WireServer(listener, handler);
-        Thread.ofPlatform().name("wire-accept").daemon().start(server::accept);
+        Thread.ofPlatform().name("wire-accept").daemon().start(server::acceptConnections);
         return server;
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return listener.getLocalPort();
     }
 
-    /** Stops accepting, waits up to {@code millis} milliseconds for queries in work, then closes all connections. */
-    public void drain(long millis) throws IOException, InterruptedException {
+    /**
+     * Stops accepting connections, waits until no query is in progress, then closes all connections.
+     *
+     * @param timeoutMillis longest time to wait, in milliseconds; queries still in progress then are abandoned
+     */
+    public void drain(long timeoutMillis) throws IOException, InterruptedException {
         listener.close();
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (working.get() > 0 && System.nanoTime() < deadline) {
-            Thread.sleep(DRAIN_STEP_MILLIS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        while (queriesInProgress.get() > 0 && System.nanoTime() < deadline) {
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
         close();
     }
@@ -89,7 +93,7 @@
         executor.shutdownNow();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
@@ -108,27 +112,27 @@
     }
 
     private void serve(Socket socket) {
-        Semaphore queries = new Semaphore(MAX_QUERIES);
+        Semaphore permits = new Semaphore(MAX_QUERIES_PER_CONNECTION);
         try (socket) {
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(IDLE_MILLIS);
+            socket.setSoTimeout(IDLE_TIMEOUT_MILLIS);
             DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
             DataOutputStream out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
             while (true) {
                 Envelope envelope = Frames.read(in);
-                queries.acquire();
-                working.incrementAndGet();
+                permits.acquire();
+                queriesInProgress.incrementAndGet();
                 executor.execute(() -> {
                     try {
-                        reply(socket, out, envelope);
+                        answer(socket, out, envelope);
                     } finally {
-                        working.decrementAndGet();
-                        queries.release();
+                        queriesInProgress.decrementAndGet();
+                        permits.release();
                     }
                 });
             }
         } catch (IOException e) {
-            // The peer opens another connection when it needs one.
+            // The connection is broken or idle; the client opens another one when it needs it.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -136,14 +140,14 @@
         }
     }
 
-    private void reply(Socket socket, DataOutputStream out, Envelope query) {
+    private void answer(Socket socket, DataOutputStream out, Envelope query) {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(query.remainingMillis());
-        Message answer = query.message() instanceof Message.Ping
+        Message reply = query.message() instanceof Message.Ping
                 ? new Message.Pong()
                 : handler.answer(query.message(), deadline);
         try {
             synchronized (out) {
-                Frames.write(out, new Envelope(Envelope.VERSION, query.exchange(), true, 0, answer));
+                Frames.write(out, new Envelope(Envelope.VERSION, query.exchange(), true, 0, reply));
             }
         } catch (IOException e) {
             closeQuietly(socket);
@@ -154,7 +158,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // The socket is given up either way.
+            // Nothing to do: the connection is no longer used.
         }
     }
 }
--- a/acacia-wire/src/test/java/org/acaciaport/wire/WireTest.java
+++ b/acacia-wire/src/test/java/org/acaciaport/wire/WireTest.java
@@ -20,9 +20,9 @@
 import org.acaciaport.request.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Tests of messages, their encodings and exchanges over a connection. */
+/** Tests of the encodings and of queries over a connection. */
 final class WireTest {
-    private static final ActiveConfiguration ACTIVE = new ActiveConfiguration(
+    private static final ActiveConfiguration CONFIGURATION = new ActiveConfiguration(
             7,
             new Configuration(
                     List.of(new DataCentre("kicukiro")),
@@ -44,11 +44,11 @@
             Set.of("kicukiro"));
 
     @Test
-    void messagesSurviveMessagePack() throws Exception {
+    void messagesRoundTripThroughMessagePack() throws Exception {
         for (Message message : List.of(
                 new Message.Submit("a", "p", "k", "payload"),
                 new Message.Look(-1),
-                new Message.View("kicukiro", true, 3, true, 4, 7, ACTIVE),
+                new Message.View("kicukiro", true, 3, true, 4, 7, CONFIGURATION),
                 new Message.View("kicukiro", true, 3, true, 4, 7, null),
                 new Message.Refused(Message.Refused.Kind.KEY_CONFLICT, "r", "m"),
                 new Message.Status(
@@ -60,8 +60,8 @@
     }
 
     @Test
-    void logRecordsSurviveJson() throws Exception {
-        LogRecord record = new LogRecord.Published(3, ACTIVE.configuration(), "operator-1");
+    void logRecordsRoundTripThroughJson() throws Exception {
+        LogRecord record = new LogRecord.Published(3, CONFIGURATION.configuration(), "operator-1");
         String json = Codecs.json().writeValueAsString(record);
         assertThat(json).contains("\"record\":\"published\"");
         assertThat(json).contains("\"same-target\"");
@@ -69,17 +69,17 @@
     }
 
     @Test
-    void unknownFieldsAreRefused() {
+    void unknownFieldsAreRejected() {
         String json =
                 "{\"record\":\"voided\",\"request\":\"r\",\"attempt\":1,\"checkpointed\":false,\"colour\":\"red\"}";
         assertThrows(UnrecognizedPropertyException.class, () -> Codecs.json().readValue(json, LogRecord.class));
     }
 
     @Test
-    void oneConnectionCarriesManyExchanges() throws Exception {
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        try (WireServer server = WireServer.start(any, (query, deadline) -> echo(query));
-                WireClient client = WireClient.of(new InetSocketAddress(any.getAddress(), server.port()))) {
+    void oneConnectionCarriesManyQueries() throws Exception {
+        InetSocketAddress ephemeral = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        try (WireServer server = WireServer.start(ephemeral, (query, deadline) -> echo(query));
+                WireClient client = WireClient.of(new InetSocketAddress(ephemeral.getAddress(), server.port()))) {
             for (int i = 0; i < 100; i++) {
                 Message reply = client.call(new Message.Explain("r" + i), 5_000);
                 assertThat(reply).isEqualTo(new Message.Explanation(List.of("r" + i)));
