--- a/acacia-wire/src/main/java/org/acaciaport/wire/WireClient.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/WireClient.java
@@ -55,6 +55,8 @@
     /**
      * Sends {@code query} and blocks until its reply arrives or the timeout expires.
      *
+     * <p>The timeout does not include the time to open a connection before the query or to probe one after it.
+     *
      * @param timeoutMillis the timeout, in milliseconds; also sent along, so that the server knows how long the client
      *     waits
      * @throws WireException if the query could not be sent or no reply arrived within the timeout
