--- a/acacia-core/src/main/java/org/acaciaport/decision/Admission.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Admission.java
@@ -6,9 +6,9 @@
 import org.acaciaport.request.Request;
 
 /**
- * Takes requests in, or answers them as not run at once.
+ * Admission control: queues a request, or answers it at once if it cannot be queued or can never run.
  *
- * <p>Confined to one decision.
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class Admission {
     private static final String PART = "admit";
@@ -19,6 +19,7 @@
         this.draft = draft;
     }
 
+    /** Admits a request that was accepted for this data centre or handed over to it. */
     void admit(Event.Submitted submitted) {
         Job job = Job.accepted(submitted.request(), draft.nextSequenceNumber());
         admit(submitted.mayHaveRun() ? job.withPossibleStart() : job);
@@ -34,16 +35,17 @@
             return;
         }
         if (!canEverRun(job)) {
-            refuse(job, neverReason(job.profile()));
+            refuse(job, infeasibleReason(job.profile()));
             return;
         }
-        if (draft.queues().size(job.account()) >= draft.policy().maxQueuedPerAccount() && !shedLower(job)) {
+        if (draft.queues().size(job.account()) >= draft.policy().maxQueuedPerAccount() && !shedLowerPriority(job)) {
             refuse(job, "the account's queue is full; submit it again later");
             return;
         }
         draft.put(job);
         draft.addTimer(request.queueDeadline(), Timer.Kind.QUEUE_DEADLINE, job.id(), 0);
         draft.addTimer(draft.now() + draft.policy().starvationMillis(), Timer.Kind.STARVATION, job.id(), 0);
+        // A job behind others of its profile cannot be placed before them, so it needs no dispatch pass of its own.
         boolean first = !draft.queues().hasWaiting(job.account(), job.profile().name());
         boolean wanted = draft.takeDispatchRequest();
         draft.enqueue(job);
@@ -53,10 +55,10 @@
         }
     }
 
-    /** Takes up a request where an earlier leader left it. */
+    /** Admits a request that an earlier leader accepted, or resumes tracking the attempt that it may have started. */
     void recover(Event.Recovered recovered) {
         if (recovered.intent().isEmpty()) {
-            admit(unfinished(recovered));
+            admit(recoverWithoutIntent(recovered));
             return;
         }
         Attempt intent = recovered.intent().get();
@@ -76,8 +78,11 @@
         new Starter(draft).resumeTracking(job, intent);
     }
 
-    /** Without an intent on the log, only work that needs none may have started. */
-    private Job unfinished(Event.Recovered recovered) {
+    /**
+     * Returns the job for a recovered request without an open intent. Only work that needs no intent, or that has been
+     * checkpointed, may have started.
+     */
+    private Job recoverWithoutIntent(Event.Recovered recovered) {
         Job job = Job.accepted(recovered.request(), draft.nextSequenceNumber());
         if (recovered.checkpointed()) {
             return job.withStart().withCheckpoint(true);
@@ -85,25 +90,25 @@
         return draft.rules().requiresIntent(job.profile()) ? job : job.withPossibleStart();
     }
 
-    /** Answers waiting requests that the present configuration can never run. */
+    /** Answers queued requests that the configuration in force can never run. */
     void rejectInfeasible() {
         for (Job job : draft.jobs().values()) {
             if (job.phase() instanceof Phase.Queued && !canEverRun(job)) {
-                refuse(job, neverReason(job.profile()));
+                refuse(job, infeasibleReason(job.profile()));
             }
         }
     }
 
-    /** Returns whether the job fits somewhere when nothing else runs. */
+    /** Returns whether the targets that are not leaving could hold {@code job} if no other work ran. */
     boolean canEverRun(Job job) {
         Profile profile = job.profile();
         int needed = profile.shape().targets();
         if (profile.shape().adjacency() == Adjacency.SAME_RACK) {
-            return draft.fleet().racks().values().stream().anyMatch(rack -> fitting(job, rack, needed) >= needed);
+            return draft.fleet().racks().values().stream().anyMatch(rack -> countFitting(job, rack, needed) >= needed);
         }
         int total = 0;
         for (Iterable<String> rack : draft.fleet().racks().values()) {
-            total += fitting(job, rack, needed - total);
+            total += countFitting(job, rack, needed - total);
             if (total >= needed) {
                 return true;
             }
@@ -111,37 +116,46 @@
         return false;
     }
 
-    private int fitting(Job job, Iterable<String> targets, int enough) {
+    /** Counts the targets that fit a member of {@code job} when empty, up to {@code limit}. */
+    private int countFitting(Job job, Iterable<String> targets, int limit) {
         int count = 0;
         for (String id : targets) {
             count += fitsWhenEmpty(draft.fleet().target(id), job) ? 1 : 0;
-            if (count >= enough) {
+            if (count >= limit) {
                 break;
             }
         }
         return count;
     }
 
-    /** Returns whether a member of {@code job} fits on {@code target} when no other work runs there. */
+    /**
+     * Returns whether a member of {@code job} fits on {@code target} when no other work runs there. Irrevocable work
+     * must fit beside the guarantees of other accounts; revocable work may borrow from them.
+     */
     static boolean fitsWhenEmpty(TargetState target, Job job) {
         int units = job.profile().unitsOn(target.target());
-        int kept = job.profile().revocable() ? 0 : target.ownedByOthers(job.account());
-        return !target.leaving() && target.capacity() - kept >= units;
+        int guaranteed = job.profile().revocable() ? 0 : target.ownedByOthers(job.account());
+        return !target.leaving() && target.capacity() - guaranteed >= units;
     }
 
-    /** Returns whether a member of {@code job} fits on {@code target} beside everything that other accounts own. */
+    /** Returns whether a member of {@code job} fits on {@code target} beside the guarantees of all other accounts. */
     static boolean fitsBesideGuarantees(TargetState target, Job job) {
         return target.capacity() - target.ownedByOthers(job.account())
                 >= job.profile().unitsOn(target.target());
     }
 
-    private static String neverReason(Profile profile) {
+    private static String infeasibleReason(Profile profile) {
         return "no set of targets here can ever hold " + profile.shape() + " of profile " + profile.name()
                 + " beside the guarantees; choose a smaller profile or another data centre";
     }
 
-    /** Makes room by answering the newest waiting request of a lower priority as not run. */
-    private boolean shedLower(Job job) {
+    /**
+     * Makes room in the queue of the account of {@code job} by answering the newest request of its lowest-priority
+     * profile as not run.
+     *
+     * @return whether a request was shed; false if none has a lower priority or if it may already have run
+     */
+    private boolean shedLowerPriority(Job job) {
         Job lowest = null;
         for (String head : draft.queues().heads(job.account())) {
             Job other = draft.job(head);
@@ -165,11 +179,11 @@
 
     private void refuse(Job job, String reason) {
         draft.note(PART, job, "refused profile=" + job.profile().name() + " why=" + reason);
-        draft.finish(job, notRun(job, reason));
+        draft.finish(job, refusal(job, reason));
     }
 
-    /** Returns the truthful answer for a request that will not be started any more. */
-    private Outcome notRun(Job job, String reason) {
+    /** Returns the outcome of a request that will not be started again: unknown if it may have run before. */
+    private Outcome refusal(Job job, String reason) {
         if (draft.rules().neverStarted(job)) {
             return new Outcome.NotRun(reason);
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
@@ -4,9 +4,12 @@
 import java.util.Optional;
 
 /**
- * Promises occupied places to a job and starts it once they are free.
+ * Claims places for a job and starts the job once they are free.
  *
- * <p>Confined to one decision.
+ * <p>A claim names the accelerators that each member of a job will occupy. They count as claimed while other work still
+ * runs on them, so that no other job takes them once they become free, except as backfill of a drain.
+ *
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class Claims {
     private static final String PART = "claim";
@@ -17,18 +20,26 @@
         this.draft = draft;
     }
 
-    /** Claims places within the account's own share; whoever borrows them is taken off within the reclaim limit. */
+    /**
+     * Claims accelerators that are guaranteed to the account of {@code job}. Work that occupies them is preempted
+     * within {@link Policy#maxReclaimMillis}.
+     */
     void claimOwned(Job job, List<Member> members) {
-        promise(job, members, false, draft.now() + draft.policy().maxReclaimMillis());
+        addClaim(job, members, false, draft.now() + draft.policy().maxReclaimMillis());
     }
 
-    /** Sets places aside for a large job; irrevocable work on them runs to its end first. */
+    /**
+     * Claims accelerators for a large job and drains them: work that cannot be preempted runs to its end before the job
+     * starts.
+     *
+     * @param deadline when the accelerators must be free, in milliseconds; {@link Long#MAX_VALUE} if unbounded
+     */
     void beginDrain(Job job, List<Member> members, long deadline) {
         draft.setLargeJob(Optional.of(job.id()));
-        promise(job, members, true, deadline);
+        addClaim(job, members, true, deadline);
     }
 
-    private void promise(Job job, List<Member> members, boolean drain, long deadline) {
+    private void addClaim(Job job, List<Member> members, boolean drain, long deadline) {
         Attempt attempt = new Attempt(draft.nextAttemptNumber(), members, 0);
         draft.dequeue(job);
         Phase.Claiming claiming = new Phase.Claiming(attempt, drain, draft.now(), deadline);
@@ -43,35 +54,35 @@
         advance(claimed);
     }
 
-    /** Starts the job if its places are free, else takes off whatever may be taken off now. */
+    /** Starts {@code job} if the accelerators that it claims are free; otherwise preempts what may be preempted now. */
     void advance(Job job) {
         if (!(job.phase() instanceof Phase.Claiming claiming)) {
             return;
         }
-        String lost = unusable(job, claiming);
-        if (lost != null) {
-            abandon(job, claiming, lost);
+        String reason = unusableReason(job, claiming);
+        if (reason != null) {
+            abandon(job, claiming, reason);
             return;
         }
-        if (ready(job, claiming)) {
+        if (isReady(job, claiming)) {
             if (draft.rules().mayStart(draft.state(), draft.gate(), draft.now())) {
-                convert(job, claiming);
+                start(job, claiming);
             }
             return;
         }
-        if (!claiming.forLargeJob() || clearable(job, claiming)) {
+        if (!claiming.forLargeJob() || canClear(job, claiming)) {
             new Revoker(draft).preemptFor(job, claiming.attempt(), claiming.forLargeJob());
         }
     }
 
-    /** Gives the promised places up and queues the job again. */
+    /** Releases the claim and queues {@code job} again after the retry delay. */
     void abandon(Job job, Phase.Claiming claiming, String why) {
         draft.note(PART, job, "abandoned attempt=" + claiming.attempt().number() + " why=" + why);
         release(job, claiming);
         draft.defer(job, draft.now() + draft.policy().baseRetryDelayMillis());
     }
 
-    /** Gives the promised places up. */
+    /** Releases the claim without queueing {@code job} again. */
     void release(Job job, Phase.Claiming claiming) {
         draft.removeClaim(job, claiming);
         if (claiming.forLargeJob()) {
@@ -79,26 +90,29 @@
         }
     }
 
-    private void convert(Job job, Phase.Claiming claiming) {
+    private void start(Job job, Phase.Claiming claiming) {
         release(job, claiming);
         new Starter(draft).begin(job, claiming.attempt());
     }
 
-    /** Returns why a promised place cannot be used any more, or null. */
-    private String unusable(Job job, Phase.Claiming claiming) {
+    /** Returns why a claimed place can no longer be used, or null if all of them can. */
+    private String unusableReason(Job job, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
             TargetState target = draft.fleet().target(member.target());
             if (target == null || !target.isUsable() || target.health().onProbation()) {
                 return "target " + member.target() + " is out of use";
             }
-            if (!fits(job, claiming, member, target)) {
+            if (!stillFits(job, claiming, member, target)) {
                 return "target " + member.target() + " has other owners now";
             }
         }
         return null;
     }
 
-    private boolean fits(Job job, Phase.Claiming claiming, Member member, TargetState target) {
+    /**
+     * Returns whether the claimed place of {@code member} is still compatible with the guarantees on {@code target}.
+     */
+    private boolean stillFits(Job job, Phase.Claiming claiming, Member member, TargetState target) {
         if (claiming.forLargeJob()) {
             return claiming.hasDeadline()
                     ? Admission.fitsBesideGuarantees(target, job)
@@ -108,33 +122,36 @@
         return owns && preservesGuarantees(job, claiming, member, target);
     }
 
-    /** Asks the rule as if the job's own claim on the target did not exist. */
+    /** Applies {@link Rules#preservesGuarantees} as if the job had no claim on {@code target} yet. */
     private boolean preservesGuarantees(Job job, Phase.Claiming claiming, Member member, TargetState target) {
         if (job.profile().revocable()) {
             return true;
         }
-        Load others =
+        Load withoutOwnClaim =
                 claiming.hasDeadline() ? target.load().withClaim(job.account(), -member.units(), false) : target.load();
-        return draft.rules().preservesGuarantees(target.with(others), job.account(), member.units());
+        return draft.rules().preservesGuarantees(target.with(withoutOwnClaim), job.account(), member.units());
     }
 
-    /** Claims within shares come first; places set aside count only what all other claims leave. */
-    private boolean ready(Job job, Phase.Claiming claiming) {
+    /**
+     * Returns whether the accelerators that {@code job} claims are idle. Claims of guaranteed accelerators go first, in
+     * order of age; a drain may use only what all other claims leave.
+     */
+    private boolean isReady(Job job, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
             TargetState target = draft.fleet().target(member.target());
             int idle = target.capacity() - target.load().used();
-            int others = claiming.forLargeJob()
+            int reserved = claiming.forLargeJob()
                     ? target.load().claimed() - member.units()
                     : olderClaims(job, claiming, target);
-            boolean kept = preservesGuarantees(job, claiming, member, target);
-            if (idle - others < member.units() || !kept) {
+            boolean preserved = preservesGuarantees(job, claiming, member, target);
+            if (idle - reserved < member.units() || !preserved) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Returns the accelerators of {@code target} promised to claims within shares that are older than this one. */
+    /** Returns the accelerators of {@code target} in older claims of guaranteed accelerators. */
     private int olderClaims(Job job, Phase.Claiming claiming, TargetState target) {
         int units = 0;
         for (String id : target.load().jobs()) {
@@ -148,10 +165,10 @@
         return units;
     }
 
-    /** Returns whether only revocable work stands between the job and its places. */
-    boolean clearable(Job job, Phase.Claiming claiming) {
+    /** Returns whether preemption alone can free the accelerators that {@code job} claims. */
+    boolean canClear(Job job, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
-            if (!Victims.clearable(draft, draft.fleet().target(member.target()), job, member.units())) {
+            if (!Victims.canClear(draft, draft.fleet().target(member.target()), job, member.units())) {
                 return false;
             }
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
@@ -3,9 +3,9 @@
 import org.acaciaport.request.Outcome;
 
 /**
- * Acts on timers that are due and on cancellations.
+ * Handles due timers and cancellations of requests.
  *
- * <p>Confined to one decision.
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class Deadlines {
     private static final String PART = "deadline";
@@ -16,14 +16,14 @@
         this.draft = draft;
     }
 
-    /** Handles every timer that is due. */
+    /** Handles every timer that is due, including those that the handlers set to now or earlier. */
     void runDueTimers() {
         for (Timer timer = draft.takeDueTimer(); timer != null; timer = draft.takeDueTimer()) {
-            due(timer);
+            handle(timer);
         }
     }
 
-    private void due(Timer timer) {
+    private void handle(Timer timer) {
         if (timer.kind() == Timer.Kind.PROBE) {
             new Probation(draft).allowProbe(timer.subject());
             return;
@@ -37,47 +37,51 @@
             return;
         }
         switch (timer.kind()) {
-            case QUEUE_DEADLINE -> queueDeadline(job);
-            case RETRY -> retry(job);
+            case QUEUE_DEADLINE -> handleQueueDeadline(job);
+            case RETRY -> requeue(job);
             case STARVATION -> draft.requestDispatch();
             case STEP_TIMEOUT -> new Starter(draft).handleTimeout(job, timer.attempt());
-            case RUN_DEADLINE -> runDeadline(job, timer.attempt());
-            case TREATMENT_TIMEOUT -> revocationDeadline(job, timer.attempt());
+            case RUN_DEADLINE -> handleRunDeadline(job, timer.attempt());
+            case TREATMENT_TIMEOUT -> handleRevocationDeadline(job, timer.attempt());
             case PROBE, RAMP_UP -> {}
         }
     }
 
-    private void retry(Job job) {
+    private void requeue(Job job) {
         if (job.phase() instanceof Phase.Queued queued && queued.eligibleAt() <= draft.now()) {
             draft.enqueue(job);
         }
     }
 
-    private void queueDeadline(Job job) {
+    /** Ends {@code job}, whose queue deadline has passed, unless it has started. */
+    private void handleQueueDeadline(Job job) {
         if (job.startStatus() == Job.StartStatus.STARTED) {
             return;
         }
-        Outcome notRun = expired(job);
+        Outcome outcome = expiredOutcome(job);
         switch (job.phase()) {
-            case Phase.Queued queued -> draft.finish(job, notRun);
+            case Phase.Queued queued -> draft.finish(job, outcome);
             case Phase.Claiming claiming -> {
                 new Claims(draft).release(job, claiming);
-                draft.finish(job, notRun);
+                draft.finish(job, outcome);
             }
-            case Phase.Reserving reserving -> again(job);
+            case Phase.Reserving reserving -> postponeQueueDeadline(job);
             case Phase.Committing committing -> {
                 draft.addCommand(
                         new Command.RecordVoid(job.id(), committing.attempt().number(), false));
                 new Starter(draft).releasePlaces(job, committing.attempt());
-                draft.finish(job, notRun);
+                draft.finish(job, outcome);
             }
-            case Phase.Running running -> again(job);
-            case Phase.HandingOver handingOver -> again(job);
+            case Phase.Running running -> postponeQueueDeadline(job);
+            case Phase.HandingOver handingOver -> postponeQueueDeadline(job);
             case Phase.Paused paused -> {}
         }
     }
 
-    private Outcome expired(Job job) {
+    /**
+     * Returns the outcome of a job whose queue deadline has passed: unknown if it may have run under another scheduler.
+     */
+    private Outcome expiredOutcome(Job job) {
         if (!draft.rules().neverStarted(job)) {
             return new Outcome.Unknown("its queue deadline passed, and an earlier scheduler may have started it");
         }
@@ -87,11 +91,12 @@
                         : " while the platform log was unavailable; submit it again later"));
     }
 
-    private void again(Job job) {
+    /** Checks the queue deadline again later, since the step under way may end with {@code job} queued again. */
+    private void postponeQueueDeadline(Job job) {
         draft.addTimer(draft.now() + draft.policy().reserveTimeoutMillis(), Timer.Kind.QUEUE_DEADLINE, job.id(), 0);
     }
 
-    private void runDeadline(Job job, long attempt) {
+    private void handleRunDeadline(Job job, long attempt) {
         if (job.phase() instanceof Phase.Running running
                 && running.attempt().number() == attempt
                 && running.revocation().isEmpty()
@@ -100,7 +105,7 @@
         }
     }
 
-    private void revocationDeadline(Job job, long attempt) {
+    private void handleRevocationDeadline(Job job, long attempt) {
         if (job.phase() instanceof Phase.Running running
                 && running.attempt().number() == attempt
                 && running.revocation().isPresent()) {
@@ -108,25 +113,28 @@
         }
     }
 
-    /** Ends the job as soon as its present step allows. */
+    /**
+     * Cancels {@code request}, at once or as soon as its current phase allows. Does nothing if the request is unknown
+     * or already being cancelled.
+     */
     void cancel(String request) {
         Job job = draft.job(request);
         if (job == null || job.cancelRequested()) {
             return;
         }
         draft.note(PART, job, "cancel asked");
-        Job asked = job.withCancelRequested();
-        draft.put(asked);
-        switch (asked.phase()) {
-            case Phase.Queued queued -> draft.finish(asked, new Outcome.Cancelled(asked.mayHaveRun()));
+        Job cancelled = job.withCancelRequested();
+        draft.put(cancelled);
+        switch (cancelled.phase()) {
+            case Phase.Queued queued -> draft.finish(cancelled, new Outcome.Cancelled(cancelled.mayHaveRun()));
             case Phase.Claiming claiming -> {
-                new Claims(draft).release(asked, claiming);
-                draft.finish(asked, new Outcome.Cancelled(asked.mayHaveRun()));
+                new Claims(draft).release(cancelled, claiming);
+                draft.finish(cancelled, new Outcome.Cancelled(cancelled.mayHaveRun()));
             }
-            case Phase.Reserving reserving -> new Starter(draft).abandon(asked, reserving.attempt(), "cancelled");
+            case Phase.Reserving reserving -> new Starter(draft).abandon(cancelled, reserving.attempt(), "cancelled");
             case Phase.Running running ->
-                new Revoker(draft).stop(asked, Revocation.Cause.CANCEL, "cancelled by the caller");
-            case Phase.Paused paused -> new PausedJobs(draft).cancel(asked, paused);
+                new Revoker(draft).stop(cancelled, Revocation.Cause.CANCEL, "cancelled by the caller");
+            case Phase.Paused paused -> new PausedJobs(draft).cancel(cancelled, paused);
             case Phase.Committing committing -> {}
             case Phase.HandingOver handingOver -> {}
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Dispatcher.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Dispatcher.java
@@ -10,26 +10,30 @@
 import org.acaciaport.config.Profile;
 
 /**
- * Gives free places to waiting jobs: the account that uses least first, within an account the most urgent first.
+ * Places queued jobs: the account that occupies the fewest accelerators first, and within an account the job with the
+ * highest effective priority first.
  *
- * <p>Waiting raises urgency, except past a profile that takes strict precedence. Confined to one decision.
+ * <p>Effective priority grows with waiting time, but never lets a job overtake a profile with strict precedence over
+ * its own. Not thread-safe; each instance serves a single decision.
  */
 final class Dispatcher {
     private static final String PART = "place";
 
     private final Draft draft;
+
+    /** Queues, named {@code account/profile}, whose first job could not be placed in the current pass. */
     private final Set<String> exhausted = new HashSet<>();
 
     Dispatcher(Draft draft) {
         this.draft = draft;
     }
 
-    /** Looks at the queues as often as the decision asks for it. */
+    /** Runs dispatch passes until the decision requests no further one. */
     void run() {
         while (draft.takeDispatchRequest()) {
             exhausted.clear();
             for (String target : draft.takeFreedTargets()) {
-                serveTarget(target);
+                advanceClaims(target);
             }
             if (!draft.active().inService(draft.state().dataCentre())) {
                 new Membership(draft).handOverQueued();
@@ -46,8 +50,8 @@
         }
     }
 
-    /** Serves the claims on a target in order of age. */
-    void serveTarget(String id) {
+    /** Advances the claims on a target, oldest first. */
+    void advanceClaims(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null) {
             return;
@@ -93,16 +97,18 @@
 
     private long accountRank(String account) {
         return draft.rules()
-                .accountRank(draft.unitsUsedBy(account), heads(account).getFirst());
+                .accountRank(
+                        draft.unitsUsedBy(account), headsByPriority(account).getFirst());
     }
 
+    /** Places at most one job of {@code account} and returns whether it did. */
     private boolean placeOne(String account) {
-        for (Job job : heads(account)) {
+        for (Job job : headsByPriority(account)) {
             String key = account + '/' + job.profile().name();
-            if (exhausted.contains(key) || waitsForOthers(job)) {
+            if (exhausted.contains(key) || isBlockedByPrecedence(job)) {
                 continue;
             }
-            if (startable(job) && place(job)) {
+            if (mayPlace(job) && place(job)) {
                 return true;
             }
             exhausted.add(key);
@@ -110,7 +116,8 @@
         return false;
     }
 
-    private List<Job> heads(String account) {
+    /** Returns the first queued job of each profile of {@code account}, highest effective priority first. */
+    private List<Job> headsByPriority(String account) {
         List<Job> heads = new ArrayList<>();
         for (String id : draft.queues().heads(account)) {
             heads.add(draft.job(id));
@@ -121,7 +128,7 @@
         return heads;
     }
 
-    private boolean waitsForOthers(Job job) {
+    private boolean isBlockedByPrecedence(Job job) {
         Predicate<Profile> precedes = other -> draft.rules().waitsFor(job.profile(), other);
         return draft.queues().heads(job.account()).stream()
                 .map(draft::job)
@@ -130,11 +137,12 @@
                 .anyMatch(precedes);
     }
 
-    /** Work whose intent must be recorded cannot start while the log is unavailable. */
-    private boolean startable(Job job) {
+    /** Returns whether {@code job} may be placed now; a job that needs an intent waits while the log is unavailable. */
+    private boolean mayPlace(Job job) {
         return draft.gate().logAvailable() || !draft.rules().requiresIntent(job.profile());
     }
 
+    /** Starts {@code job} or claims places for it if possible, and returns whether it did. */
     private boolean place(Job job) {
         Placement placement = new Placement(draft, job);
         Optional<List<Member>> free = placement.findFree();
@@ -147,9 +155,9 @@
             new Claims(draft).claimOwned(job, claim.get());
             return true;
         }
-        List<Member> lent = new DrainPlanner(draft).findBackfill(job);
-        if (!lent.isEmpty()) {
-            start(job, lent, "lent", "free places");
+        List<Member> backfill = new DrainPlanner(draft).findBackfill(job);
+        if (!backfill.isEmpty()) {
+            start(job, backfill, "lent", "free places");
             return true;
         }
         if (job.request().acceptedAt() == draft.now()) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
@@ -7,13 +7,14 @@
 import org.acaciaport.config.Adjacency;
 
 /**
- * Sets places aside for the large job that has waited longest, one at a time, and lends them out meanwhile.
+ * Drains targets for the large job that has waited longest, one job at a time, and finds backfill for them meanwhile.
  *
- * <p>The places chosen are those beside what other accounts own whose irrevocable work ends first. Since every run has
- * a limit, the wait of the job whose turn it is has a bound. A job that fits only on accelerators that others own gets
- * its turn too, but their claims come first, so its wait has none.
+ * <p>The planner prefers targets on which the job fits beside the guarantees of other accounts, and among these the
+ * ones whose work that cannot be preempted ends first. Since every run has a limit, such a drain has a deadline. A job
+ * that fits only on accelerators guaranteed to other accounts is drained for as well, but their claims go first, so its
+ * drain has no deadline.
  *
- * <p>Confined to one decision.
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class DrainPlanner {
     private static final String PART = "drain";
@@ -24,7 +25,7 @@
         this.draft = draft;
     }
 
-    /** Gives the next large job its turn if none has it. */
+    /** Begins the next drain if none is in progress. */
     void planNext() {
         if (!draft.rules().drainsForLargeJobs() || draft.largeJob().isPresent()) {
             return;
@@ -33,27 +34,29 @@
         for (String account : draft.queues().accounts()) {
             for (String id : draft.queues().heads(account)) {
                 Job job = draft.job(id);
-                if (due(job) && (oldest == null || job.sequence() < oldest.sequence())) {
+                if (isEligible(job) && (oldest == null || job.sequence() < oldest.sequence())) {
                     oldest = job;
                 }
             }
         }
         if (oldest != null) {
-            plan(oldest);
+            beginDrain(oldest);
         }
     }
 
     /**
-     * Returns places that are set aside but idle, which {@code job} may use without delaying their owner. None are lent
-     * once the owner waits for nothing but revocable work.
+     * Returns a place for {@code job} on accelerators that are being drained but idle, if it will not delay the large
+     * job. There is no backfill once preemption alone can finish the drain.
+     *
+     * @return a list of one member, or an empty list
      */
     List<Member> findBackfill(Job job) {
-        Job owner = draft.largeJob().map(draft::job).orElse(null);
-        if (owner == null || job.profile().gang() || !(owner.phase() instanceof Phase.Claiming claiming)) {
+        Job largeJob = draft.largeJob().map(draft::job).orElse(null);
+        if (largeJob == null || job.profile().gang() || !(largeJob.phase() instanceof Phase.Claiming claiming)) {
             return List.of();
         }
-        boolean ownerWaits = !new Claims(draft).clearable(owner, claiming);
-        if (!draft.rules().mayBackfill(ownerWaits, endsInTime(job, claiming.deadline()))) {
+        boolean drainBlocked = !new Claims(draft).canClear(largeJob, claiming);
+        if (!draft.rules().mayBackfill(drainBlocked, endsInTime(job, claiming.deadline()))) {
             return List.of();
         }
         for (Member member : claiming.attempt().members()) {
@@ -71,42 +74,48 @@
         return List.of();
     }
 
-    /** Trusts observed run times, and for irrevocable work the run limit besides. */
+    /**
+     * Returns whether {@code job} is expected to end by {@code deadline} if it starts now. The estimate comes from
+     * observed run times; irrevocable work must also meet the deadline at its run limit, since it cannot be preempted.
+     */
     private boolean endsInTime(Job job, long deadline) {
         OptionalLong high = draft.runTimes(job.profile().name()).highPercentileMillis();
-        boolean likely = high.isEmpty() || draft.now() + high.getAsLong() <= deadline;
+        boolean expected = high.isEmpty() || draft.now() + high.getAsLong() <= deadline;
         return job.profile().revocable()
-                ? likely
-                : likely
+                ? expected
+                : expected
                         && deadline != Long.MAX_VALUE
-                        && endBy(job) + 2 * draft.policy().maxReclaimMillis() <= deadline;
+                        && latestEnd(job) + 2 * draft.policy().maxReclaimMillis() <= deadline;
     }
 
-    private boolean due(Job job) {
+    /** Returns whether {@code job} is large and has waited long enough for a drain. */
+    private boolean isEligible(Job job) {
         long waited = draft.now() - job.request().acceptedAt();
-        return waited >= draft.policy().starvationMillis() && large(job);
+        return waited >= draft.policy().starvationMillis() && isLarge(job);
     }
 
-    private boolean large(Job job) {
+    /** Returns whether {@code job} is a gang or needs more accelerators than are free on any one target. */
+    private boolean isLarge(Job job) {
         return job.profile().gang()
                 || draft.fleet().largestFree() < job.profile().shape().acceleratorsPerTarget();
     }
 
-    private void plan(Job job) {
+    private void beginDrain(Job job) {
         int needed = job.profile().shape().targets();
         Plan best = null;
         if (job.profile().shape().adjacency() == Adjacency.SAME_RACK) {
             for (List<String> rack : draft.fleet().racks().values()) {
-                best = earlier(best, cheapest(job, rack, needed));
+                best = better(best, earliestPlan(job, rack, needed));
             }
         } else {
             List<String> all = new ArrayList<>(draft.fleet().targets().keySet());
-            best = cheapest(job, all, needed);
+            best = earliestPlan(job, all, needed);
         }
         if (best == null) {
             return;
         }
-        long deadline = best.beside() ? best.clearAt() + 2 * draft.policy().maxReclaimMillis() : Long.MAX_VALUE;
+        long deadline =
+                best.besideGuarantees() ? best.clearAt() + 2 * draft.policy().maxReclaimMillis() : Long.MAX_VALUE;
         draft.note(
                 PART,
                 job,
@@ -116,67 +125,85 @@
         new Claims(draft).beginDrain(job, members, deadline);
     }
 
-    /** Targets for one large job and the time by which their irrevocable work has ended. */
-    private record Plan(List<TargetState> targets, long clearAt, boolean beside) {}
+    /**
+     * A set of targets to drain for a large job.
+     *
+     * @param targets the targets, one per member
+     * @param clearAt when the work on them that cannot be preempted will have ended at the latest, in milliseconds
+     * @param besideGuarantees whether the job fits on each of them beside the guarantees of other accounts
+     */
+    private record Plan(List<TargetState> targets, long clearAt, boolean besideGuarantees) {}
 
-    private static Plan earlier(Plan left, Plan right) {
+    /** Returns the plan that respects guarantees, or else the one that is clear first; either may be null. */
+    private static Plan better(Plan left, Plan right) {
         if (left == null || right == null) {
             return left == null ? right : left;
         }
-        if (left.beside() != right.beside()) {
-            return left.beside() ? left : right;
+        if (left.besideGuarantees() != right.besideGuarantees()) {
+            return left.besideGuarantees() ? left : right;
         }
         return right.clearAt() < left.clearAt() ? right : left;
     }
 
-    private Plan cheapest(Job job, List<String> targets, int needed) {
-        List<Clearing> clearings = new ArrayList<>();
+    /** Returns the plan over {@code targets} that is clear first, or null if fewer than {@code needed} are suitable. */
+    private Plan earliestPlan(Job job, List<String> targets, int needed) {
+        List<Candidate> candidates = new ArrayList<>();
         for (String id : targets) {
             TargetState target = draft.fleet().target(id);
             if (target.isTrusted() && Admission.fitsWhenEmpty(target, job)) {
-                clearings.add(new Clearing(target, clearAt(target, job)));
+                candidates.add(new Candidate(target, clearAt(target, job)));
             }
         }
-        if (clearings.size() < needed) {
+        if (candidates.size() < needed) {
             return null;
         }
-        clearings.sort(Comparator.comparing((Clearing c) -> !Admission.fitsBesideGuarantees(c.target(), job))
-                .thenComparingLong(Clearing::at)
+        candidates.sort(Comparator.comparing((Candidate c) -> !Admission.fitsBesideGuarantees(c.target(), job))
+                .thenComparingLong(Candidate::clearAt)
                 .thenComparingInt(c -> -c.target().free())
                 .thenComparing(c -> c.target().id()));
         List<TargetState> chosen =
-                clearings.subList(0, needed).stream().map(Clearing::target).toList();
-        long clearAt = clearings.subList(0, needed).stream()
-                .mapToLong(Clearing::at)
+                candidates.subList(0, needed).stream().map(Candidate::target).toList();
+        long clearAt = candidates.subList(0, needed).stream()
+                .mapToLong(Candidate::clearAt)
                 .max()
                 .orElse(draft.now());
-        boolean beside = chosen.stream().allMatch(t -> Admission.fitsBesideGuarantees(t, job));
-        return new Plan(chosen, clearAt, beside);
+        boolean besideGuarantees = chosen.stream().allMatch(t -> Admission.fitsBesideGuarantees(t, job));
+        return new Plan(chosen, clearAt, besideGuarantees);
     }
 
-    /** A target and the time by which its irrevocable work has ended. */
-    private record Clearing(TargetState target, long at) {}
+    /**
+     * A target that could be drained, and when the work on it that cannot be preempted will have ended at the latest.
+     */
+    private record Candidate(TargetState target, long clearAt) {}
 
-    private long clearAt(TargetState target, Job owner) {
+    /**
+     * Returns when the work on {@code target} that a drain cannot preempt will have ended at the latest, in
+     * milliseconds.
+     */
+    private long clearAt(TargetState target, Job largeJob) {
         long latest = draft.now();
         for (String id : target.load().jobs()) {
             Job job = draft.job(id);
             boolean stays = job != null
                     && !(job.phase() instanceof Phase.Claiming)
-                    && (!job.profile().revocable() || Victims.isSpared(job, owner));
+                    && (!job.profile().revocable() || Victims.isSpared(job, largeJob));
             if (stays) {
-                latest = Math.max(latest, endBy(job));
+                latest = Math.max(latest, latestEnd(job));
             }
         }
         return latest;
     }
 
-    private long endBy(Job job) {
-        long runs = job.phase() instanceof Phase.Running running
+    /**
+     * Returns when {@code job} will have left its targets at the latest, in milliseconds. A job that is not running yet
+     * may still need two steps of up to {@link Policy#reserveTimeoutMillis} each before its run begins.
+     */
+    private long latestEnd(Job job) {
+        long runEnd = job.phase() instanceof Phase.Running running
                 ? running.runDeadline()
                 : draft.now()
                         + job.profile().runLimitMillis()
                         + 2 * draft.policy().reserveTimeoutMillis();
-        return runs + draft.policy().stopTimeoutMillis();
+        return runEnd + draft.policy().stopTimeoutMillis();
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
@@ -10,15 +10,16 @@
 import org.acaciaport.request.Outcome;
 
 /**
- * Checks every decision against what the system promises.
+ * Checks every decision against the invariants that the system guarantees.
  *
- * <p>Not thread-safe; belongs to the thread that decides. The checks read commands, events and states and share no code
- * with the parts that decide. One check costs time in the number of targets and commands that the decision touched;
- * {@link #audit} costs time in the size of the state.
+ * <p>The checks read events, commands and states and share no code with the classes that make the decisions, so that a
+ * fault in these is not repeated here. {@link #check} takes time linear in the number of targets and commands that the
+ * decision touched, {@link #audit} time linear in the size of the state. Not thread-safe; used by the thread that makes
+ * the decisions.
  */
 public final class Invariants {
-    /** A timer served later than this was held up by a pause of the process, in milliseconds. */
-    private static final long PAUSE_MILLIS = 500;
+    /** Delay of a due timer from which the process counts as having been paused, in milliseconds. */
+    private static final long PAUSE_THRESHOLD_MILLIS = 500;
 
     private final StartLedger ledger = new StartLedger();
     private final Policy policy;
@@ -26,21 +27,27 @@
     private long checks;
     private long pauseEnd = Long.MIN_VALUE;
 
-    /** Creates a check for decisions that keep to {@code policy}. */
+    /** Creates a checker for decisions made under {@code policy}. */
     public Invariants(Policy policy) {
         this.policy = policy;
     }
 
-    /** Returns how many checks were made. */
+    /** Returns the number of conditions checked so far. */
     public long checkCount() {
         return checks;
     }
 
-    /** Checks one decision and returns what it broke. */
+    /**
+     * Checks one decision and returns the violations found, if any. Must be called for every decision, in order.
+     *
+     * @param before the state that the decision started from
+     * @param event the event that was decided on
+     * @param now the time of the decision, in milliseconds
+     */
     public List<Violation> check(CellState before, Event event, Decision decision, long now) {
         found.clear();
-        notePause(before, now);
-        note(event);
+        detectPause(before, now);
+        record(event);
         CellState after = decision.state();
         require(
                 Invariant.REVISION,
@@ -50,44 +57,47 @@
         for (String id : decision.changedTargets()) {
             TargetState target = after.fleet().target(id);
             if (target != null) {
-                target(after, target, now);
+                checkTarget(after, target, now);
             }
         }
         for (Command command : decision.commands()) {
-            command(before, after, command, now);
+            checkCommand(before, after, command, now);
         }
-        precedence(before, decision);
+        checkPrecedence(before, decision);
         return List.copyOf(found);
     }
 
-    /** A due timer that was not served for long shows that the whole process stood still; bounds count from its end. */
-    private void notePause(CellState before, long now) {
-        if (before.nextTimerAt().orElse(Long.MAX_VALUE) < now - PAUSE_MILLIS) {
+    /**
+     * Detects that the whole process was paused, which shows in a timer that is long overdue. No preemption can proceed
+     * during a pause, so the bounds on claims made earlier count from its end.
+     */
+    private void detectPause(CellState before, long now) {
+        if (before.nextTimerAt().orElse(Long.MAX_VALUE) < now - PAUSE_THRESHOLD_MILLIS) {
             pauseEnd = now;
         }
     }
 
-    private void note(Event event) {
+    private void record(Event event) {
         switch (event) {
             case Event.ReserveAnswered answer -> {
                 if (answer.granted()) {
-                    ledger.granted(answer.attempt(), answer.member());
+                    ledger.recordReservation(answer.attempt(), answer.member());
                 }
             }
             case Event.IntentAnswered answer -> {
                 if (answer.recorded()) {
-                    ledger.intended(answer.attempt());
+                    ledger.recordIntent(answer.attempt());
                 }
             }
             case Event.MemberChanged change -> {
                 MemberState.Status status = change.state().status();
                 if (status == MemberState.Status.NOT_STARTED || status == MemberState.Status.CHECKPOINTED) {
-                    ledger.withdrawn(change.request(), change.attempt(), change.member());
+                    ledger.withdrawStart(change.request(), change.attempt(), change.member());
                 }
             }
             case Event.Recovered recovered ->
                 recovered.intent().ifPresent(intent -> intent.members()
-                        .forEach(m -> ledger.started(recovered.request().id(), intent.number(), m.index())));
+                        .forEach(m -> ledger.recordStart(recovered.request().id(), intent.number(), m.index())));
             case Event.Tick tick -> {}
             case Event.Submitted submitted -> {}
             case Event.CancelAsked cancel -> {}
@@ -101,13 +111,13 @@
         }
     }
 
-    private void target(CellState after, TargetState target, long now) {
+    private void checkTarget(CellState after, TargetState target, long now) {
         Load load = target.load();
         require(
                 Invariant.CAPACITY,
-                load.used() - unconfirmed(after, target) <= target.capacity(),
+                load.used() - unconfirmedUnits(after, target) <= target.capacity(),
                 () -> target.id() + " holds " + load.used() + " of " + target.capacity() + " by "
-                        + users(after, target));
+                        + describeUsers(after, target));
         require(
                 Invariant.GUARANTEE,
                 !target.isUsable()
@@ -117,21 +127,22 @@
             Job job = after.workload().jobs().get(id);
             require(Invariant.BOOKKEEPING, job != null, () -> target.id() + " lists unknown request " + id);
             if (job != null) {
-                job(after, job, now);
+                checkJob(after, job, now);
             }
         }
     }
 
     /**
-     * Returns the accelerators counted for members that an earlier leader may have started. Until the target reports on
-     * them, some that have ended are counted beside those that took their place.
+     * Returns the accelerators of {@code target} counted for members that an earlier leader may have started and the
+     * target has not reported on yet. Some of these members may have ended and been replaced, so their accelerators may
+     * be counted twice.
      */
-    private static int unconfirmed(CellState after, TargetState target) {
+    private static int unconfirmedUnits(CellState after, TargetState target) {
         int units = 0;
         for (String id : target.load().jobs()) {
             Job job = after.workload().jobs().get(id);
             if (job != null && job.phase() instanceof Phase.Running running && isRecovered(after, running)) {
-                units += startingOn(running, target);
+                units += startingUnitsOn(running, target);
             }
         }
         return units;
@@ -142,7 +153,7 @@
                 < CellState.epochOf(after.workload().lastAttempt());
     }
 
-    private static int startingOn(Phase.Running running, TargetState target) {
+    private static int startingUnitsOn(Phase.Running running, TargetState target) {
         int units = 0;
         for (Member member : running.attempt().members()) {
             MemberState.Status status = running.members().get(member.index()).status();
@@ -152,36 +163,37 @@
         return units;
     }
 
-    private void job(CellState after, Job job, long now) {
+    private void checkJob(CellState after, Job job, long now) {
         if (job.phase() instanceof Phase.Running running) {
-            boolean gone = running.members().values().stream()
+            boolean memberGone = running.members().values().stream()
                     .anyMatch(m -> !m.occupiesAccelerators() && m.status() != MemberState.Status.ENDED);
             require(
                     Invariant.GANG_WHOLE,
-                    !gone
+                    !memberGone
                             || !running.occupiesAccelerators()
                             || running.revocation().isPresent(),
                     () -> job.id() + " goes on without a member, members=" + running.members());
         }
-        if (job.phase() instanceof Phase.Claiming claiming && now > boundOf(claiming)) {
+        if (job.phase() instanceof Phase.Claiming claiming && now > effectiveDeadline(claiming)) {
             Invariant bound = claiming.forLargeJob() ? Invariant.LARGE_JOB_BOUND : Invariant.RECLAIM_BOUND;
             require(
                     bound,
-                    placesFree(after, claiming),
+                    arePlacesFree(after, claiming),
                     () -> job.id() + " claimed at " + claiming.claimedAt() + ", deadline " + claiming.deadline()
-                            + ", places still in use at " + now + " by " + users(after, claiming));
+                            + ", places still in use at " + now + " by " + describeUsers(after, claiming));
         }
     }
 
-    private static String users(CellState after, Phase.Claiming claiming) {
+    private static String describeUsers(CellState after, Phase.Claiming claiming) {
         StringBuilder text = new StringBuilder();
         for (Member member : claiming.attempt().members()) {
-            text.append(users(after, after.fleet().target(member.target()))).append(' ');
+            text.append(describeUsers(after, after.fleet().target(member.target())))
+                    .append(' ');
         }
         return text.toString();
     }
 
-    private static String users(CellState after, TargetState target) {
+    private static String describeUsers(CellState after, TargetState target) {
         StringBuilder text = new StringBuilder();
         text.append(target.id()).append(" owned=").append(target.owned()).append(" [");
         for (String id : target.load().jobs()) {
@@ -192,12 +204,13 @@
         return text.append(']').toString();
     }
 
-    private long boundOf(Phase.Claiming claiming) {
+    /** Returns the deadline of a claim, extended if the process was paused after the claim was made. */
+    private long effectiveDeadline(Phase.Claiming claiming) {
         boolean paused = claiming.claimedAt() < pauseEnd;
         return paused ? Math.max(claiming.deadline(), pauseEnd + 2 * policy.maxReclaimMillis()) : claiming.deadline();
     }
 
-    private static boolean placesFree(CellState after, Phase.Claiming claiming) {
+    private static boolean arePlacesFree(CellState after, Phase.Claiming claiming) {
         for (Member member : claiming.attempt().members()) {
             TargetState target = after.fleet().target(member.target());
             if (target.capacity() - target.load().used() < member.units()) {
@@ -207,10 +220,10 @@
         return true;
     }
 
-    private void command(CellState before, CellState after, Command command, long now) {
+    private void checkCommand(CellState before, CellState after, Command command, long now) {
         switch (command) {
-            case Command.Start start -> start(after, start, now);
-            case Command.Answer answer -> answer(answer);
+            case Command.Start start -> checkStart(after, start, now);
+            case Command.Answer answer -> checkAnswer(answer);
             case Command.RecordVoid recordVoid -> ledger.forget(recordVoid.attempt());
             case Command.Reserve reserve -> {}
             case Command.Release release -> {}
@@ -230,7 +243,7 @@
         }
     }
 
-    private void start(CellState after, Command.Start start, long now) {
+    private void checkStart(CellState after, Command.Start start, long now) {
         String id = start.request().id();
         Attempt attempt = start.attempt();
         Profile profile = start.request().profile();
@@ -249,8 +262,8 @@
         if (profile.gang()) {
             require(
                     Invariant.GANG_WHOLE,
-                    ledger.heldBy(attempt.number()) == attempt.members().size(),
-                    () -> id + " started with " + ledger.heldBy(attempt.number()) + " of "
+                    ledger.reservationsOf(attempt.number()) == attempt.members().size(),
+                    () -> id + " started with " + ledger.reservationsOf(attempt.number()) + " of "
                             + attempt.members().size() + " places held");
         }
         if (!profile.idempotent()) {
@@ -263,18 +276,19 @@
                     ledger.isIntended(attempt.number()),
                     () -> id + " started without an intent on the log");
         }
-        ledger.started(id, attempt.number(), start.member().index());
+        ledger.recordStart(id, attempt.number(), start.member().index());
     }
 
-    private void answer(Command.Answer answer) {
+    private void checkAnswer(Command.Answer answer) {
         String id = answer.request().id();
         if (answer.outcome() instanceof Outcome.NotRun) {
             require(Invariant.NOT_RUN_TRUE, !ledger.anyMayHaveRun(id), () -> id + " answered as not run after a start");
         }
-        require(Invariant.ONE_ANSWER, ledger.answer(id), () -> id + " answered twice");
+        require(Invariant.ONE_ANSWER, ledger.recordAnswer(id), () -> id + " answered twice");
     }
 
-    private void precedence(CellState before, Decision decision) {
+    /** Checks the placements of {@code decision}, which are recognised by the notes of {@link Dispatcher}. */
+    private void checkPrecedence(CellState before, Decision decision) {
         for (Note note : decision.notes()) {
             boolean placed = note.part().equals("place") && note.text().contains("attempt=");
             Job job = placed ? before.workload().jobs().get(note.request()) : null;
@@ -296,7 +310,7 @@
         }
     }
 
-    /** Checks the whole state and returns what is broken. */
+    /** Checks the whole of {@code state} and returns the violations found, if any. */
     public List<Violation> audit(CellState state, long now) {
         found.clear();
         Map<String, Integer> used = new HashMap<>();
@@ -304,7 +318,7 @@
         Map<String, Integer> units = new HashMap<>();
         int queued = 0;
         for (Job job : state.workload().jobs().values()) {
-            tally(job, used, claimed, units);
+            addUnits(job, used, claimed, units);
             boolean waiting = job.phase() instanceof Phase.Queued;
             queued += waiting
                             && state.workload()
@@ -312,13 +326,13 @@
                                     .hasWaiting(job.account(), job.profile().name())
                     ? 1
                     : 0;
-            job(state, job, now);
+            checkJob(state, job, now);
         }
-        int waits = queued;
+        int expected = queued;
         require(
                 Invariant.BOOKKEEPING,
-                state.workload().queues().size() <= waits,
-                () -> "queues hold " + state.workload().queues().size() + " but " + waits + " wait");
+                state.workload().queues().size() <= expected,
+                () -> "queues hold " + state.workload().queues().size() + " but " + expected + " wait");
         for (TargetState target : state.fleet().targets().values()) {
             int uses = used.getOrDefault(target.id(), 0);
             int claims = claimed.getOrDefault(target.id(), 0);
@@ -326,7 +340,7 @@
                     Invariant.BOOKKEEPING,
                     target.load().used() == uses && target.load().claimed() == claims,
                     () -> target.id() + " counts " + target.load() + " but jobs hold " + uses + " and claim " + claims);
-            target(state, target, now);
+            checkTarget(state, target, now);
         }
         units.forEach((account, sum) -> require(
                 Invariant.BOOKKEEPING,
@@ -335,13 +349,13 @@
         return List.copyOf(found);
     }
 
-    private static void tally(
+    private static void addUnits(
             Job job, Map<String, Integer> used, Map<String, Integer> claimed, Map<String, Integer> units) {
         switch (job.phase()) {
             case Phase.Claiming claiming ->
                 claiming.attempt().members().forEach(m -> claimed.merge(m.target(), m.units(), Integer::sum));
-            case Phase.Reserving reserving -> occupied(job, reserving.attempt(), used, units);
-            case Phase.Committing committing -> occupied(job, committing.attempt(), used, units);
+            case Phase.Reserving reserving -> addOccupied(job, reserving.attempt(), used, units);
+            case Phase.Committing committing -> addOccupied(job, committing.attempt(), used, units);
             case Phase.Running running -> {
                 for (Member member : running.attempt().members()) {
                     if (running.members().get(member.index()).occupiesAccelerators()) {
@@ -356,14 +370,14 @@
         }
     }
 
-    private static void occupied(Job job, Attempt attempt, Map<String, Integer> used, Map<String, Integer> units) {
+    private static void addOccupied(Job job, Attempt attempt, Map<String, Integer> used, Map<String, Integer> units) {
         for (Member member : attempt.members()) {
             used.merge(member.target(), member.units(), Integer::sum);
             units.merge(job.account(), member.units(), Integer::sum);
         }
     }
 
-    /** Words for a violation, made only when needed. */
+    /** A description of a violation, evaluated only if the condition does not hold. */
     private interface Detail {
         String text();
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
@@ -11,9 +11,10 @@
 import org.acaciaport.config.Target;
 
 /**
- * Follows targets and the data centre itself in and out of service, and keeps the guarantees assigned to what is left.
+ * Tracks which targets are in use and whether the data centre is in service, and reassigns guarantees to the targets
+ * that remain.
  *
- * <p>Confined to one decision.
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class Membership {
     private static final String PART = "fleet";
@@ -24,7 +25,7 @@
         this.draft = draft;
     }
 
-    /** Applies a newer revision; an older one or the same changes nothing. */
+    /** Applies {@code next} if its revision is newer than the one in force; ignores it otherwise. */
     void applyConfiguration(ActiveConfiguration next) {
         ActiveConfiguration previous = draft.active();
         if (!draft.rules().replaces(next, previous)) {
@@ -32,23 +33,27 @@
             return;
         }
         String here = draft.state().dataCentre();
-        boolean was = previous.inService(here);
+        boolean wasInService = previous.inService(here);
         draft.setActive(next);
         if (!next.configuration().equals(previous.configuration())) {
             replaceTargets(next.configuration().targetsOf(here));
             new Admission(draft).rejectInfeasible();
         }
         draft.note(PART, "revision=" + next.revision() + " in force, in service=" + next.inService(here));
-        if (was && !next.inService(here)) {
+        if (wasInService && !next.inService(here)) {
             evacuate();
         }
-        if (!was && next.inService(here)) {
+        if (!wasInService && next.inService(here)) {
             draft.setGate(draft.gate().withReturnToService(draft.now()));
-            requeueWaiting();
+            enqueueWaiting();
         }
         draft.requestDispatch();
     }
 
+    /**
+     * Replaces the configured targets. A target with work on it is neither shrunk nor removed: it keeps its size, or
+     * counts as leaving if it is no longer configured.
+     */
     private void replaceTargets(List<Target> targets) {
         Fleet fleet = draft.fleet();
         Set<String> present = new HashSet<>();
@@ -77,7 +82,10 @@
         reassignGuarantees();
     }
 
-    /** Marks exactly the targets in {@code listed} as leaving, and takes off what may be taken off them. */
+    /**
+     * Marks the targets in {@code listed}, and those no longer configured, as leaving and all others as staying.
+     * Evacuates the targets that begin to leave.
+     */
     void applyLeavingList(Set<String> listed) {
         if (!listed.equals(draft.fleet().listedAsLeaving())) {
             draft.setListedAsLeaving(listed);
@@ -100,7 +108,7 @@
             draft.changeTarget(target.id(), t -> t.withLeaving(leaving));
             draft.note(PART, "target=" + target.id() + " leaving=" + leaving);
             if (leaving) {
-                takeOff(target.id());
+                evacuateTarget(target.id());
             }
         }
         if (changed) {
@@ -108,6 +116,7 @@
         }
     }
 
+    /** Marks a target as reachable now that its lease is held. */
     void markReachable(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null || target.reachable()) {
@@ -118,7 +127,9 @@
         reassignOwedSlices();
     }
 
-    /** Ends all work on a target whose lease has lapsed. */
+    /**
+     * Marks a target as unreachable and its members as lost: its lease has expired, so whatever ran there has ended.
+     */
     void markLost(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null || !target.reachable()) {
@@ -132,13 +143,13 @@
             }
         }
         for (String job : target.load().jobs()) {
-            loseMembers(draft.job(job), id);
+            markMembersLost(draft.job(job), id);
         }
         reassignGuarantees();
         draft.requestDispatch();
     }
 
-    private void loseMembers(Job job, String target) {
+    private void markMembersLost(Job job, String target) {
         switch (job.phase()) {
             case Phase.Claiming claiming -> new Claims(draft).abandon(job, claiming, "target " + target + " was lost");
             case Phase.Reserving reserving ->
@@ -162,7 +173,7 @@
         }
     }
 
-    /** Assigns what is still owed, now that another target is in use. */
+    /** Assigns the guaranteed slices that no target could hold so far, now that another target is in use. */
     void reassignOwedSlices() {
         if (draft.fleet().shares().owed() > 0) {
             reassignGuarantees();
@@ -170,7 +181,10 @@
         draft.requestDispatch();
     }
 
-    /** Assigns the guarantees anew wherever the present targets no longer carry them. */
+    /**
+     * Assigns the guarantees of all accounts to the trusted targets, keeping the slices that still fit, and has all
+     * claims checked against the result.
+     */
     void reassignGuarantees() {
         List<Shares.Place> places = new ArrayList<>();
         for (TargetState target : new TreeMap<>(draft.fleet().targets()).values()) {
@@ -193,7 +207,7 @@
         draft.requestDispatch();
     }
 
-    /** Takes revocable work off everywhere and gives up whatever has not started. */
+    /** Evacuates the data centre: releases whatever has not started and revokes or evicts what may be. */
     private void evacuate() {
         draft.setGate(draft.gate().withoutPermit());
         for (Job job : draft.jobs().values()) {
@@ -202,7 +216,7 @@
                     new Claims(draft).abandon(job, claiming, "the data centre goes out of service");
                 case Phase.Reserving reserving ->
                     new Starter(draft).abandon(job, reserving.attempt(), "the data centre goes out of service");
-                case Phase.Running running -> depart(job, running);
+                case Phase.Running running -> revokeIfRevocable(job, running);
                 case Phase.Paused paused ->
                     new PausedJobs(draft).evict(job, paused, "the data centre goes out of service");
                 case Phase.Queued queued -> {}
@@ -212,14 +226,15 @@
         }
     }
 
-    private void takeOff(String target) {
+    /** Releases claims and reservations on a target, revokes what may be revoked there, and evicts paused work. */
+    private void evacuateTarget(String target) {
         TargetState state = draft.fleet().target(target);
         for (String id : state.load().jobs()) {
             Job job = draft.job(id);
             switch (job.phase()) {
                 case Phase.Claiming claiming -> new Claims(draft).abandon(job, claiming, "target leaves");
                 case Phase.Reserving reserving -> new Starter(draft).abandon(job, reserving.attempt(), "target leaves");
-                case Phase.Running running -> depart(job, running);
+                case Phase.Running running -> revokeIfRevocable(job, running);
                 case Phase.Queued queued -> {}
                 case Phase.Committing committing -> {}
                 case Phase.Paused paused -> {}
@@ -233,13 +248,13 @@
         }
     }
 
-    private void depart(Job job, Phase.Running running) {
+    private void revokeIfRevocable(Job job, Phase.Running running) {
         if (job.profile().revocable() && running.revocation().isEmpty()) {
             new Revoker(draft).revoke(job, Revocation.Cause.OUT_OF_SERVICE, "out of service");
         }
     }
 
-    /** Passes waiting jobs on while another data centre is in service. */
+    /** Hands queued jobs over to another data centre, if one is in service. */
     void handOverQueued() {
         boolean elsewhere = draft.active().configuration().dataCentres().stream()
                 .anyMatch(d -> draft.active().inService(d.name()));
@@ -256,6 +271,7 @@
         }
     }
 
+    /** Forgets a job whose hand-over was recorded; queues it again if it was not. */
     void handleHandOverAnswer(Event.HandOverAnswered answer) {
         Job job = draft.job(answer.request());
         if (job == null || !(job.phase() instanceof Phase.HandingOver)) {
@@ -268,7 +284,8 @@
         }
     }
 
-    private void requeueWaiting() {
+    /** Makes every waiting job eligible for placement, including those in a retry delay or removed from their queue. */
+    private void enqueueWaiting() {
         for (Job job : draft.jobs().values()) {
             if (job.phase() instanceof Phase.Queued) {
                 draft.enqueue(job);
--- a/acacia-core/src/main/java/org/acaciaport/decision/PausedJobs.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/PausedJobs.java
@@ -6,9 +6,12 @@
 import org.pcollections.HashTreePMap;
 
 /**
- * Handles work that is paused on its target. Work that may run again is not left paused for long.
+ * Resumes, cancels and evicts jobs that are paused on their targets.
  *
- * <p>Confined to one decision. Paused work has exactly one member.
+ * <p>A job that may be restarted is evicted and queued again after {@link Policy#starvationMillis}, since it may run
+ * sooner elsewhere. A paused job has exactly one member.
+ *
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class PausedJobs {
     private static final String PART = "resume";
@@ -19,15 +22,15 @@
         this.draft = draft;
     }
 
-    /** Resumes the work if its target has the accelerators free and the data centre is in service. */
+    /** Resumes {@code job} if work may start now and its accelerators are free again; otherwise leaves it paused. */
     void resume(Job job) {
         if (job == null || !(job.phase() instanceof Phase.Paused paused)) {
             return;
         }
         Member only = paused.attempt().members().getFirst();
         TargetState target = draft.fleet().target(only.target());
-        boolean may = draft.rules().mayStart(draft.state(), draft.gate(), draft.now());
-        if (!may || !draft.rules().acceptsWork(target) || target.free() < only.units()) {
+        boolean mayStart = draft.rules().mayStart(draft.state(), draft.gate(), draft.now());
+        if (!mayStart || !draft.rules().acceptsWork(target) || target.free() < only.units()) {
             return;
         }
         draft.removePaused(job, only.target());
@@ -45,7 +48,7 @@
         draft.note(PART, job, "target=" + only.target());
     }
 
-    /** Ends paused work whose caller wants it no more. */
+    /** Stops a paused job that the caller has cancelled, and answers it. */
     void cancel(Job job, Phase.Paused paused) {
         Member only = paused.attempt().members().getFirst();
         draft.removePaused(job, only.target());
@@ -53,7 +56,12 @@
         draft.finish(job, new Outcome.Cancelled(true));
     }
 
-    /** Takes paused work off its target, which is gone or going. */
+    /**
+     * Removes a paused job from its target. Stops and requeues it if it may be restarted; otherwise answers it with an
+     * unknown outcome.
+     *
+     * @param why the cause, as shown to the caller
+     */
     void evict(Job job, Phase.Paused paused, String why) {
         Member only = paused.attempt().members().getFirst();
         draft.removePaused(job, only.target());
--- a/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
@@ -10,10 +10,11 @@
 import org.acaciaport.config.Slice;
 
 /**
- * Finds places for the members of a job. Changes nothing.
+ * Finds places for the members of a job. A place is a number of accelerators on one target.
  *
- * <p>Confined to one decision. A single member costs logarithmic time in the number of targets; a gang in one rack
- * costs time in the number of racks, and a spread gang in its own size.
+ * <p>Reads the draft and never changes it. A single member takes logarithmic time in the number of targets, a gang in
+ * one rack time linear in the number of racks, and a gang across racks time linear in its size. Not thread-safe; each
+ * instance serves a single decision.
  */
 final class Placement {
     private final Draft draft;
@@ -26,26 +27,32 @@
         this.profile = job.profile();
     }
 
-    /** Returns places that are free now, own ones first, then those that leave the least behind. */
+    /**
+     * Returns places that are free now. A single member prefers accelerators guaranteed to its account, then the target
+     * with the fewest free accelerators that fits (best fit); a gang in one rack prefers the tightest rack.
+     */
     Optional<List<Member>> findFree() {
         int needed = profile.shape().targets();
         if (needed == 1) {
-            return single().map(this::membersOn);
+            return findSingle().map(this::membersOn);
         }
         return switch (profile.shape().adjacency()) {
             case SAME_TARGET -> Optional.empty();
-            case SAME_RACK -> inOneRack(needed);
-            case SAME_DATA_CENTRE -> anywhere(needed);
+            case SAME_RACK -> findInOneRack(needed);
+            case SAME_DATA_CENTRE -> findAcrossRacks(needed);
         };
     }
 
-    /** Returns places among the account's own slices, whoever occupies them now. */
+    /**
+     * Returns places among the guaranteed slices of the account, whether or not other work occupies them now. Prefers
+     * targets on which the most of them are free already.
+     */
     Optional<List<Member>> findClaimable() {
         int needed = profile.shape().targets();
         List<TargetState> own = new ArrayList<>();
         for (Slice slice : draft.fleet().shares().of(job.account())) {
             TargetState target = draft.fleet().target(slice.target());
-            if (target != null && claimable(target)) {
+            if (target != null && isClaimable(target)) {
                 own.add(target);
             }
         }
@@ -65,6 +72,7 @@
         return Optional.empty();
     }
 
+    /** Returns one member for each of {@code targets}, in this order. */
     List<Member> membersOn(List<TargetState> targets) {
         List<Member> members = new ArrayList<>(targets.size());
         for (TargetState target : targets) {
@@ -77,19 +85,24 @@
         return profile.unitsOn(target.target());
     }
 
-    private boolean claimable(TargetState target) {
+    /**
+     * Returns whether a member can claim accelerators of {@code target} that are guaranteed to the account. Those that
+     * the account occupies itself count only if its work there has a lower priority and can be preempted.
+     */
+    private boolean isClaimable(TargetState target) {
         int owned = target.owned().getOrDefault(job.account(), 0);
-        int kept = target.load().usageOf(job.account()).total() - Victims.ownPreemptibleUnits(draft, target, job);
+        int retained = target.load().usageOf(job.account()).total() - Victims.ownPreemptibleUnits(draft, target, job);
         boolean preservesGuarantees =
                 profile.revocable() || draft.rules().preservesGuarantees(target, job.account(), units(target));
         return preservesGuarantees
                 && draft.rules().acceptsWork(target)
                 && !job.avoidedTargets().contains(target.id())
-                && owned - kept - target.load().claimedBy(job.account()) >= units(target);
+                && owned - retained - target.load().claimedBy(job.account()) >= units(target);
     }
 
     private boolean fitsNow(TargetState target) {
         int units = units(target);
+        // A target with recent failures takes only single idempotent members, which can be retried elsewhere.
         boolean trusted =
                 target.health().accountsByFailedRequest().isEmpty() || profile.idempotent() && !profile.gang();
         return draft.rules().acceptsWork(target)
@@ -99,7 +112,7 @@
                 && (profile.revocable() || draft.rules().preservesGuarantees(target, job.account(), units));
     }
 
-    private Optional<List<TargetState>> single() {
+    private Optional<List<TargetState>> findSingle() {
         TargetState best = null;
         for (Slice slice : draft.fleet().shares().of(job.account())) {
             TargetState target = draft.fleet().target(slice.target());
@@ -111,7 +124,8 @@
         if (best != null) {
             return Optional.of(List.of(best));
         }
-        for (CapacityIndex.Entry entry : index().atLeast(profile.shape().acceleratorsPerTarget())) {
+        for (CapacityIndex.Entry entry :
+                candidateIndex().atLeast(profile.shape().acceleratorsPerTarget())) {
             TargetState target = draft.fleet().target(entry.target());
             if (fitsNow(target)) {
                 return Optional.of(List.of(target));
@@ -120,26 +134,26 @@
         return Optional.empty();
     }
 
-    private Optional<List<Member>> inOneRack(int needed) {
-        int least = profile.shape().acceleratorsPerTarget();
+    private Optional<List<Member>> findInOneRack(int needed) {
+        int minUnits = profile.shape().acceleratorsPerTarget();
         List<TargetState> best = null;
-        int bestLeft = Integer.MAX_VALUE;
+        int bestRemainder = Integer.MAX_VALUE;
         for (String rack : draft.fleet().racks().keySet()) {
-            if (draft.fleet().free().countInRack(rack, least) < needed) {
+            if (draft.fleet().free().countInRack(rack, minUnits) < needed) {
                 continue;
             }
             List<TargetState> chosen =
-                    choose(Iterables.transform(draft.fleet().racks().get(rack), draft.fleet()::target), needed);
-            int left = chosen.stream().mapToInt(t -> t.free() - units(t)).sum();
-            if (chosen.size() == needed && left < bestLeft) {
+                    selectTightest(Iterables.transform(draft.fleet().racks().get(rack), draft.fleet()::target), needed);
+            int remainder = chosen.stream().mapToInt(t -> t.free() - units(t)).sum();
+            if (chosen.size() == needed && remainder < bestRemainder) {
                 best = chosen;
-                bestLeft = left;
+                bestRemainder = remainder;
             }
         }
         return Optional.ofNullable(best).map(this::membersOn);
     }
 
-    private Optional<List<Member>> anywhere(int needed) {
+    private Optional<List<Member>> findAcrossRacks(int needed) {
         List<TargetState> chosen = new ArrayList<>(needed);
         for (CapacityIndex.Entry entry :
                 draft.fleet().free().atLeast(profile.shape().acceleratorsPerTarget())) {
@@ -154,7 +168,10 @@
         return Optional.empty();
     }
 
-    private List<TargetState> choose(Iterable<TargetState> targets, int needed) {
+    /**
+     * Returns up to {@code needed} targets that fit a member now, those left with the fewest free accelerators first.
+     */
+    private List<TargetState> selectTightest(Iterable<TargetState> targets, int needed) {
         List<TargetState> fitting = new ArrayList<>();
         for (TargetState target : targets) {
             if (fitsNow(target)) {
@@ -166,7 +183,7 @@
         return fitting.subList(0, Math.min(needed, fitting.size()));
     }
 
-    private CapacityIndex index() {
+    private CapacityIndex candidateIndex() {
         return profile.revocable() ? draft.fleet().free() : draft.fleet().unowned();
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
@@ -1,15 +1,21 @@
 package org.acaciaport.decision;
 
 /**
- * Keeps work off targets that fail what they start, without trusting a target for being empty or blaming it for jobs
- * that fail everywhere.
+ * Puts targets on probation after repeated failures, and probes them before they take work again.
  *
- * <p>Confined to one decision.
+ * <p>A failure counts against its target until any task succeeds there. A target ends its probation only through a
+ * successful probe, so an idle one does not become trusted by the passing of time. Failures of a job that failed on
+ * several targets and is not retried are withdrawn, as the job itself is the likelier cause.
+ *
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class Probation {
     private static final String PART = "probation";
-    private static final int ONE_ACCOUNT_FACTOR = 2;
-    private static final int MOST_DOUBLINGS = 5;
+
+    /** Multiplies the failures required while only one account has seen any, as its work may be at fault. */
+    private static final int SINGLE_ACCOUNT_FACTOR = 2;
+
+    private static final int MAX_DOUBLINGS = 5;
 
     private final Draft draft;
 
@@ -17,6 +23,7 @@
         this.draft = draft;
     }
 
+    /** Records that a task succeeded on a target, which clears its failures and ends its probation. */
     void recordSuccess(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null || target.health().equals(Health.HEALTHY)) {
@@ -30,25 +37,31 @@
         }
     }
 
+    /**
+     * Records that {@code job} failed on a target, or that the target refused to start it. A failed probe, or enough
+     * failures of different requests, put the target on probation.
+     */
     void recordFailure(String id, Job job) {
         TargetState target = draft.fleet().target(id);
         if (target == null || target.health().onProbation()) {
             return;
         }
         if (target.health().awaitsProbeResult()) {
-            begin(target, target.health().consecutiveProbations() + 1);
+            startProbation(target, target.health().consecutiveProbations() + 1);
             return;
         }
         Health health = target.health().withFailedRequest(job.id(), job.account());
         draft.changeTarget(id, t -> t.with(health));
-        int few = draft.policy().failuresForProbation();
-        int enough = health.countAffectedAccounts() > 1 ? few : few * ONE_ACCOUNT_FACTOR;
-        if (health.accountsByFailedRequest().size() >= enough) {
-            begin(draft.fleet().target(id), 1);
+        int threshold = draft.policy().failuresForProbation();
+        int required = health.countAffectedAccounts() > 1 ? threshold : threshold * SINGLE_ACCOUNT_FACTOR;
+        if (health.accountsByFailedRequest().size() >= required) {
+            startProbation(draft.fleet().target(id), 1);
         }
     }
 
-    /** Takes back the suspicion that a job cast on targets, since it failed on every one. */
+    /**
+     * Withdraws the failures of {@code job} from its targets if it failed on more than one of them.
+     */
     void clearSuspicion(Job job) {
         if (job.avoidedTargets().size() < 2) {
             return;
@@ -61,7 +74,7 @@
         }
     }
 
-    /** Lets one task through to a target whose pause has passed. */
+    /** Allows one task to run as a probe on a target whose probe delay has passed. */
     void allowProbe(String id) {
         TargetState target = draft.fleet().target(id);
         if (target == null || !target.health().onProbation() || target.health().nextProbeAt() > draft.now()) {
@@ -72,11 +85,11 @@
         draft.requestDispatch();
     }
 
-    private void begin(TargetState target, int probes) {
-        long pause = Math.min(
+    private void startProbation(TargetState target, int probes) {
+        long delay = Math.min(
                 draft.policy().maxProbeDelayMillis(),
-                draft.policy().initialProbeDelayMillis() << Math.min(probes - 1, MOST_DOUBLINGS));
-        long at = draft.now() + pause;
+                draft.policy().initialProbeDelayMillis() << Math.min(probes - 1, MAX_DOUBLINGS));
+        long at = draft.now() + delay;
         draft.changeTarget(target.id(), t -> t.with(t.health().withProbation(probes, at)));
         draft.addTimer(at, Timer.Kind.PROBE, target.id(), 0);
         draft.note(
--- a/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
@@ -4,9 +4,12 @@
 import org.acaciaport.config.Treatment;
 
 /**
- * Takes running work off its targets: checkpoint, then throttle, then stop, each with a deadline.
+ * Revokes running work from its targets in stages: checkpoint, then throttle (pause on the target), then stop.
  *
- * <p>Confined to one decision.
+ * <p>Revocation omits the stages that the profile does not allow. Each stage has a deadline, after which the
+ * next one begins.
+ *
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class Revoker {
     private static final String PART = "revoke";
@@ -17,7 +20,7 @@
         this.draft = draft;
     }
 
-    /** Takes work off for {@code claimant} wherever its promised accelerators are not yet free. */
+    /** Preempts work for {@code claimant} on every target where the accelerators that it claims are not yet free. */
     void preemptFor(Job claimant, Attempt attempt, boolean drain) {
         if (!draft.rules().preemptionEnabled()) {
             return;
@@ -25,12 +28,12 @@
         for (Member member : attempt.members()) {
             TargetState target = draft.fleet().target(member.target());
             for (Job victim : Victims.select(draft, target, claimant, drain)) {
-                takeOff(victim, "accelerators claimed by request " + claimant.id());
+                preempt(victim, "accelerators claimed by request " + claimant.id());
             }
         }
     }
 
-    private void takeOff(Job victim, String reason) {
+    private void preempt(Job victim, String reason) {
         if (victim.phase() instanceof Phase.Running) {
             revoke(victim, Revocation.Cause.RECLAIM, reason);
         } else {
@@ -38,25 +41,27 @@
         }
     }
 
-    /** Begins with the first treatment that the profile allows. */
+    /** Begins to revoke {@code job} with the first stage that its profile allows. */
     void revoke(Job job, Revocation.Cause cause, String reason) {
-        begin(job, cause, next(job, Optional.empty()).orElse(Treatment.STOP), reason);
+        begin(job, cause, nextStage(job, Optional.empty()).orElse(Treatment.STOP), reason);
     }
 
-    /** Stops the work at once. */
+    /** Begins to revoke {@code job} with a stop, without the milder stages. */
     void stop(Job job, Revocation.Cause cause, String reason) {
         begin(job, cause, Treatment.STOP, reason);
     }
 
-    /** Goes on to the next treatment once the present one has passed its deadline. */
+    /**
+     * Moves on to the next stage if the current one has passed its deadline; after the last, the members count as lost.
+     */
     void escalate(Job job, Phase.Running running) {
         Revocation revocation = running.revocation().orElseThrow();
         if (draft.now() < revocation.deadline()) {
             return;
         }
-        Optional<Treatment> next = next(job, Optional.of(revocation.treatment()));
+        Optional<Treatment> next = nextStage(job, Optional.of(revocation.treatment()));
         if (next.isEmpty()) {
-            loseRest(job, running);
+            markRemainingLost(job, running);
             return;
         }
         treat(
@@ -78,6 +83,7 @@
         treat(job, running, new Revocation(cause, stage, deadline(running, stage), reason));
     }
 
+    /** Makes {@code revocation} the current stage and sends it to all members that still occupy accelerators. */
     private void treat(Job job, Phase.Running running, Revocation revocation) {
         draft.put(job.with(running.with(revocation)));
         draft.addTimer(
@@ -93,8 +99,11 @@
         }
     }
 
-    /** A target that neither confirms a stop nor reports in time no longer renews the member's lease. */
-    private void loseRest(Job job, Phase.Running running) {
+    /**
+     * Marks the members that still occupy accelerators as lost. A target that neither confirms a stop nor reports in
+     * time no longer renews the lease of the member.
+     */
+    private void markRemainingLost(Job job, Phase.Running running) {
         RunTracker tracker = new RunTracker(draft);
         for (Member member : running.attempt().members()) {
             if (running.members().get(member.index()).occupiesAccelerators()) {
@@ -104,13 +113,20 @@
         }
     }
 
-    /** A paused member keeps its memory, so only a single member is paused, and one at a time on a target. */
-    private Optional<Treatment> next(Job job, Optional<Treatment> previous) {
+    /**
+     * Returns the stage after {@code previous}, or the first one if that is empty; skips a throttle that is not
+     * possible.
+     */
+    private Optional<Treatment> nextStage(Job job, Optional<Treatment> previous) {
         Optional<Treatment> next = job.profile().treatmentAfter(previous);
-        boolean passedOver = next.isPresent() && next.get() == Treatment.THROTTLE && !mayThrottle(job);
-        return passedOver ? job.profile().treatmentAfter(next) : next;
+        boolean skip = next.isPresent() && next.get() == Treatment.THROTTLE && !mayThrottle(job);
+        return skip ? job.profile().treatmentAfter(next) : next;
     }
 
+    /**
+     * Returns whether {@code job} may be paused on its target. A paused member keeps its memory, so only jobs with a
+     * single member are paused, and at most one of them on each target.
+     */
     private boolean mayThrottle(Job job) {
         Attempt attempt = job.phase().currentAttempt().orElseThrow();
         Member only = attempt.members().getFirst();
@@ -118,10 +134,14 @@
                 && draft.fleet().target(only.target()).load().paused().isEmpty();
     }
 
-    /** A start under way may overtake a stop, so a stop is given until the start deadline has passed as well. */
-    private long deadline(Phase.Running running, Treatment treatment) {
+    /**
+     * Returns the deadline of {@code stage}, in milliseconds. A start in flight may arrive after a stop that was sent
+     * later, so the time allowed for a stop does not begin before the start deadline of members that are still
+     * starting.
+     */
+    private long deadline(Phase.Running running, Treatment stage) {
         boolean starting = running.members().values().stream().anyMatch(m -> m.status() == MemberState.Status.STARTING);
-        return switch (treatment) {
+        return switch (stage) {
             case CHECKPOINT -> draft.now() + draft.policy().checkpointTimeoutMillis();
             case THROTTLE -> draft.now() + draft.policy().throttleTimeoutMillis();
             case STOP ->
--- a/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
@@ -6,9 +6,9 @@
 import org.acaciaport.request.Outcome;
 
 /**
- * Follows started members to their end and decides what becomes of the request.
+ * Tracks the members of started attempts until they end, and then answers, requeues or pauses the job.
  *
- * <p>Confined to one decision.
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class RunTracker {
     private static final String PART = "progress";
@@ -20,8 +20,10 @@
     }
 
     /**
-     * Notes a report. A target that was restarted knows nothing of what an earlier leader started there, so its report
-     * that such a member was not started proves nothing.
+     * Applies a change in the state of a member. Ignores changes of members that no longer run.
+     *
+     * <p>A restarted target does not know what an earlier leader started there. Its report that a member of such an
+     * attempt was not started is therefore no proof, and the member counts as lost.
      */
     void handleMemberChange(String request, long attempt, int member, MemberState state) {
         Job job = draft.job(request);
@@ -47,16 +49,17 @@
         }
         boolean revoking = running.revocation().isPresent();
         draft.vacate(changed, place, revoking);
-        judgeTarget(changed, next, place, state);
+        recordTargetHealth(changed, next, place, state);
         changed = draft.job(request);
         if (!next.occupiesAccelerators()) {
             settle(changed, next);
         } else if (!revoking) {
-            endRest(changed, state, place);
+            stopRemainingMembers(changed, state, place);
         }
     }
 
-    private void judgeTarget(Job job, Phase.Running running, Member place, MemberState state) {
+    /** Records what the end of a member says about the health of its target. */
+    private void recordTargetHealth(Job job, Phase.Running running, Member place, MemberState state) {
         Probation probation = new Probation(draft);
         if (state.status() == MemberState.Status.ENDED) {
             draft.addRunTime(job.profile().name(), draft.now() - running.startedAt());
@@ -73,8 +76,8 @@
         }
     }
 
-    /** Takes the rest of a gang off once one member is gone. */
-    private void endRest(Job job, MemberState state, Member gone) {
+    /** Stops the remaining members of a gang once one member is gone without having ended normally. */
+    private void stopRemainingMembers(Job job, MemberState state, Member gone) {
         if (!draft.rules().stopsPartialGangs()) {
             return;
         }
@@ -93,24 +96,24 @@
         }
     }
 
-    /** Decides what follows once no member occupies accelerators any more. */
+    /** Answers, requeues or pauses {@code job} once none of its members occupies accelerators. */
     private void settle(Job job, Phase.Running running) {
-        if (all(running, MemberState.Status.ENDED)) {
-            draft.finish(job, new Outcome.Done(answers(running)));
+        if (allAre(running, MemberState.Status.ENDED)) {
+            draft.finish(job, new Outcome.Done(collectAnswers(running)));
             return;
         }
-        if (all(running, MemberState.Status.NOT_STARTED)) {
+        if (allAre(running, MemberState.Status.NOT_STARTED)) {
             settleNotStarted(job, running);
             return;
         }
-        Revocation.Cause cause = running.revocation().map(Revocation::cause).orElse(causeOf(running));
-        String reason = running.revocation().map(Revocation::reason).orElse("member state " + states(running));
+        Revocation.Cause cause = running.revocation().map(Revocation::cause).orElse(inferCause(running));
+        String reason = running.revocation().map(Revocation::reason).orElse("member state " + describeStates(running));
         if (job.cancelRequested()) {
             draft.finish(job, new Outcome.Cancelled(true));
             return;
         }
-        if (all(running, MemberState.Status.THROTTLED)) {
-            park(job, running);
+        if (allAre(running, MemberState.Status.THROTTLED)) {
+            pause(job, running);
             return;
         }
         switch (cause) {
@@ -125,6 +128,7 @@
         }
     }
 
+    /** Requeues a job of which no member was started. */
     private void settleNotStarted(Job job, Phase.Running running) {
         if (draft.rules().requiresIntent(job.profile())) {
             draft.addCommand(new Command.RecordVoid(job.id(), running.attempt().number(), false));
@@ -137,8 +141,9 @@
         draft.defer(job, draft.now() + draft.policy().retryDelayMillis(job.abortedStarts()));
     }
 
+    /** Requeues a preempted or evacuated job if it was checkpointed or may be restarted; answers it otherwise. */
     private void settleRevoked(Job job, Phase.Running running, String reason) {
-        if (all(running, MemberState.Status.CHECKPOINTED)) {
+        if (allAre(running, MemberState.Status.CHECKPOINTED)) {
             if (draft.rules().requiresIntent(job.profile())) {
                 draft.addCommand(
                         new Command.RecordVoid(job.id(), running.attempt().number(), true));
@@ -152,15 +157,17 @@
             draft.enqueue(job);
             return;
         }
-        String all = "taken off before it could be checkpointed: " + reason;
-        draft.finish(job, has(running, MemberState.Status.LOST) ? new Outcome.Unknown(all) : new Outcome.Failed(all));
+        String cause = "taken off before it could be checkpointed: " + reason;
+        draft.finish(
+                job, anyIs(running, MemberState.Status.LOST) ? new Outcome.Unknown(cause) : new Outcome.Failed(cause));
     }
 
+    /** Retries a failed job with backoff while its failure limit and the retry budget of its profile allow it. */
     private void settleFailed(Job job, String reason) {
         String profile = job.profile().name();
-        boolean again = draft.rules().mayRunAgain(job)
+        boolean mayRetry = draft.rules().mayRunAgain(job)
                 && job.failures() < draft.policy().maxFailedAttempts();
-        if (!again) {
+        if (!mayRetry) {
             new Probation(draft).clearSuspicion(job);
             draft.finish(job, new Outcome.Failed(reason));
             return;
@@ -173,9 +180,9 @@
             return;
         }
         draft.setRetryBudget(profile, draft.retryBudget(profile).spend());
-        long pause = draft.policy().retryDelayMillis(job.failures());
-        draft.note(PART, job, "failed and retried after ms=" + pause + " why=" + reason);
-        draft.defer(job, draft.now() + pause);
+        long delay = draft.policy().retryDelayMillis(job.failures());
+        draft.note(PART, job, "failed and retried after ms=" + delay + " why=" + reason);
+        draft.defer(job, draft.now() + delay);
     }
 
     private void settleRefused(Job job, String reason) {
@@ -195,7 +202,7 @@
         }
     }
 
-    private void park(Job job, Phase.Running running) {
+    private void pause(Job job, Phase.Running running) {
         Member only = running.attempt().members().getFirst();
         long remaining = Math.max(0, running.runDeadline() - draft.now());
         long until = draft.now() + draft.policy().starvationMillis();
@@ -206,18 +213,19 @@
         draft.note(PART, job, "paused on target=" + only.target());
     }
 
-    private static Revocation.Cause causeOf(Phase.Running running) {
-        if (has(running, MemberState.Status.FAILED)) {
+    /** Returns the purpose that stands for the member states of an attempt that ended without a revocation. */
+    private static Revocation.Cause inferCause(Phase.Running running) {
+        if (anyIs(running, MemberState.Status.FAILED)) {
             return Revocation.Cause.MEMBER_FAILED;
         }
-        return has(running, MemberState.Status.NOT_STARTED)
-                        && !has(running, MemberState.Status.LOST)
-                        && !has(running, MemberState.Status.STOPPED)
+        return anyIs(running, MemberState.Status.NOT_STARTED)
+                        && !anyIs(running, MemberState.Status.LOST)
+                        && !anyIs(running, MemberState.Status.STOPPED)
                 ? Revocation.Cause.MEMBER_REFUSED
                 : Revocation.Cause.MEMBER_LOST;
     }
 
-    private static String states(Phase.Running running) {
+    private static String describeStates(Phase.Running running) {
         return running.members().values().stream()
                 .map(m -> m.status() + (m.output().isEmpty() ? "" : " " + m.output()))
                 .distinct()
@@ -226,7 +234,7 @@
                 .toString();
     }
 
-    private static List<MemberAnswer> answers(Phase.Running running) {
+    private static List<MemberAnswer> collectAnswers(Phase.Running running) {
         List<MemberAnswer> answers = new ArrayList<>();
         for (Member member : running.attempt().members()) {
             String output = running.members().get(member.index()).output();
@@ -235,11 +243,11 @@
         return answers;
     }
 
-    private static boolean all(Phase.Running running, MemberState.Status status) {
+    private static boolean allAre(Phase.Running running, MemberState.Status status) {
         return running.members().values().stream().allMatch(m -> m.status() == status);
     }
 
-    private static boolean has(Phase.Running running, MemberState.Status status) {
+    private static boolean anyIs(Phase.Running running, MemberState.Status status) {
         return running.members().values().stream().anyMatch(m -> m.status() == status);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/StartLedger.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/StartLedger.java
@@ -7,27 +7,31 @@
 import java.util.Set;
 
 /**
- * Remembers what was started, held, intended and answered, apart from the state that decisions are made from.
+ * A record of starts, granted reservations, intents and answers, kept independently of the state that decisions use.
  *
- * <p>Not thread-safe. Forgets the oldest answered requests beyond {@value #MOST_ANSWERED}.
+ * <p>Not thread-safe. Remembers the newest {@value #MAX_ANSWERED} answered requests.
  */
 final class StartLedger {
-    private static final int MOST_ANSWERED = 50_000;
+    private static final int MAX_ANSWERED = 50_000;
 
+    /** Indexes of the members that may have run, by request and attempt. */
     private final Map<String, Map<Long, Set<Integer>>> mayHaveRun = new HashMap<>();
-    private final Map<Long, Set<Integer>> held = new HashMap<>();
+
+    /** Indexes of the members with a granted reservation, by attempt. */
+    private final Map<Long, Set<Integer>> reserved = new HashMap<>();
+
     private final Set<Long> intended = new HashSet<>();
     private final LinkedHashSet<String> answered = new LinkedHashSet<>();
 
-    void started(String request, long attempt, int member) {
+    void recordStart(String request, long attempt, int member) {
         mayHaveRun
                 .computeIfAbsent(request, id -> new HashMap<>())
                 .computeIfAbsent(attempt, n -> new HashSet<>())
                 .add(member);
     }
 
-    /** Notes that a member was certainly not started, or ended with its state saved. */
-    void withdrawn(String request, long attempt, int member) {
+    /** Withdraws a start, since the member was certainly not started or ended with its state saved. */
+    void withdrawStart(String request, long attempt, int member) {
         Map<Long, Set<Integer>> attempts = mayHaveRun.get(request);
         if (attempts == null || !attempts.containsKey(attempt)) {
             return;
@@ -38,7 +42,7 @@
         }
     }
 
-    /** Returns whether another attempt than {@code attempt} may have run. */
+    /** Returns whether an attempt of {@code request} other than {@code attempt} may have run. */
     boolean otherMayHaveRun(String request, long attempt) {
         return mayHaveRun.getOrDefault(request, Map.of()).keySet().stream().anyMatch(n -> n != attempt);
     }
@@ -47,15 +51,15 @@
         return !mayHaveRun.getOrDefault(request, Map.of()).isEmpty();
     }
 
-    void granted(long attempt, int member) {
-        held.computeIfAbsent(attempt, n -> new HashSet<>()).add(member);
+    void recordReservation(long attempt, int member) {
+        reserved.computeIfAbsent(attempt, n -> new HashSet<>()).add(member);
     }
 
-    int heldBy(long attempt) {
-        return held.getOrDefault(attempt, Set.of()).size();
+    int reservationsOf(long attempt) {
+        return reserved.getOrDefault(attempt, Set.of()).size();
     }
 
-    void intended(long attempt) {
+    void recordIntent(long attempt) {
         intended.add(attempt);
     }
 
@@ -63,21 +67,22 @@
         return intended.contains(attempt);
     }
 
-    /** Notes an answer; returns whether it is the first. */
-    boolean answer(String request) {
+    /** Records an answer to a request and returns whether it is the first one. */
+    boolean recordAnswer(String request) {
         boolean first = answered.add(request);
         Map<Long, Set<Integer>> attempts = mayHaveRun.remove(request);
         if (attempts != null) {
             attempts.keySet().forEach(this::forget);
         }
-        if (answered.size() > MOST_ANSWERED) {
+        if (answered.size() > MAX_ANSWERED) {
             answered.removeFirst();
         }
         return first;
     }
 
+    /** Forgets the reservations and the intent of an attempt. */
     void forget(long attempt) {
-        held.remove(attempt);
+        reserved.remove(attempt);
         intended.remove(attempt);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
@@ -8,9 +8,10 @@
 import org.pcollections.PMap;
 
 /**
- * Takes a placed job to its start: hold every place, record the intent, start every member. All members start or none.
+ * Starts the attempt of a placed job in up to three steps: reserve a place on every target, record the intent on the
+ * log, and start every member. Starts are sent for all members or for none.
  *
- * <p>Confined to one decision.
+ * <p>Not thread-safe; each instance serves a single decision.
  */
 final class Starter {
     private static final String PART = "start";
@@ -21,7 +22,7 @@
         this.draft = draft;
     }
 
-    /** Occupies the places of {@code attempt} and takes the first step. */
+    /** Occupies the places of {@code attempt} and begins the first step that the profile of {@code job} requires. */
     void begin(Job job, Attempt attempt) {
         draft.dequeue(job);
         draft.occupy(job, attempt);
@@ -37,6 +38,7 @@
         }
     }
 
+    /** Handles the answer of one target to a reservation; goes on once every target has granted its own. */
     void handleReserveAnswer(Event.ReserveAnswered answer) {
         Job job = draft.job(answer.request());
         if (job == null
@@ -59,6 +61,7 @@
         }
     }
 
+    /** Starts the members once the intent is recorded; abandons the attempt if it is not or the job was cancelled. */
     void handleIntentAnswer(Event.IntentAnswered answer) {
         Job job = draft.job(answer.request());
         if (job == null
@@ -76,7 +79,10 @@
         abandon(job, committing.attempt(), job.cancelRequested() ? "cancelled" : "the log did not record the intent");
     }
 
-    /** Handles a step that took too long. */
+    /**
+     * Handles a step of {@code attempt} that took too long: abandons an attempt whose reservations are incomplete,
+     * marks members as lost whose start was never confirmed, and evicts a paused job that may be restarted.
+     */
     void handleTimeout(Job job, long attempt) {
         switch (job.phase()) {
             case Phase.Reserving reserving -> {
@@ -85,17 +91,18 @@
                 }
             }
             case Phase.Running running -> {
-                long silentAt = running.attempt().startBefore() + draft.policy().stopTimeoutMillis();
-                if (running.attempt().number() == attempt && draft.now() >= silentAt) {
-                    loseSilent(job, running);
+                long confirmBy =
+                        running.attempt().startBefore() + draft.policy().stopTimeoutMillis();
+                if (running.attempt().number() == attempt && draft.now() >= confirmBy) {
+                    markUnconfirmedLost(job, running);
                 }
             }
             case Phase.Queued queued -> {}
             case Phase.Claiming claiming -> {}
             case Phase.Committing committing -> {}
             case Phase.Paused paused -> {
-                boolean late = paused.attempt().number() == attempt && draft.now() >= paused.requeueAt();
-                if (late && draft.rules().mayRunAgain(job)) {
+                boolean timedOut = paused.attempt().number() == attempt && draft.now() >= paused.requeueAt();
+                if (timedOut && draft.rules().mayRunAgain(job)) {
                     new PausedJobs(draft).evict(job, paused, "paused for too long");
                 }
             }
@@ -103,7 +110,10 @@
         }
     }
 
-    /** Gives the places back and queues the job again; no member was told to start. */
+    /**
+     * Releases the places of an attempt of which no start was sent; queues the job again with backoff, unless
+     * cancelled.
+     */
     void abandon(Job job, Attempt attempt, String why) {
         draft.note(PART, job, "gave up attempt=" + attempt.number() + " why=" + why);
         releasePlaces(job, attempt);
@@ -115,7 +125,7 @@
         }
     }
 
-    /** Gives the places of an attempt back that was not started. */
+    /** Releases the places of an attempt of which no start was sent. */
     void releasePlaces(Job job, Attempt attempt) {
         for (Member member : attempt.members()) {
             draft.addCommand(new Command.Release(job.id(), attempt.number(), member));
@@ -123,7 +133,7 @@
         }
     }
 
-    /** Gives up a job that holds places but was not told to start. */
+    /** Abandons the attempt of {@code job} if no start was sent yet; voids an intent that may be on the log. */
     void withdraw(Job job, String why) {
         if (job.phase() instanceof Phase.Reserving reserving) {
             abandon(job, reserving.attempt(), why);
@@ -135,6 +145,7 @@
         }
     }
 
+    /** Records the intent if the profile requires one; otherwise starts the members at once. */
     private void commit(Job job, Attempt attempt) {
         if (!draft.rules().requiresIntent(job.profile())) {
             start(job, attempt, false);
@@ -144,17 +155,18 @@
         draft.addCommand(new Command.RecordIntent(job.request(), attempt));
     }
 
-    private void start(Job job, Attempt attempt, boolean intended) {
-        String barred = barred(attempt);
-        if (barred != null) {
-            if (intended) {
+    /** Sends the starts of all members, or abandons the attempt if it may no longer start. */
+    private void start(Job job, Attempt attempt, boolean intentRecorded) {
+        String obstacle = startObstacle(attempt);
+        if (obstacle != null) {
+            if (intentRecorded) {
                 draft.addCommand(new Command.RecordVoid(job.id(), attempt.number(), false));
             }
-            abandon(job, attempt, barred);
+            abandon(job, attempt, obstacle);
             return;
         }
-        long window = draft.now() + draft.policy().startWindowMillis();
-        Attempt timed = attempt.withStartBefore(Math.min(window, draft.gate().permitUntil()));
+        long windowEnd = draft.now() + draft.policy().startWindowMillis();
+        Attempt timed = attempt.withStartBefore(Math.min(windowEnd, draft.gate().permitUntil()));
         PMap<Integer, MemberState> members = HashTreePMap.empty();
         for (Member member : timed.members()) {
             members = members.plus(member.index(), MemberState.of(MemberState.Status.STARTING));
@@ -166,11 +178,11 @@
         draft.setRetryBudget(
                 job.profile().name(),
                 draft.retryBudget(job.profile().name()).earn(draft.policy().retryPercent()));
-        follow(job, timed);
+        track(job, timed);
     }
 
-    /** Returns why the attempt must not start any more, or null. */
-    private String barred(Attempt attempt) {
+    /** Returns why {@code attempt} may no longer start, or null if it may. */
+    private String startObstacle(Attempt attempt) {
         if (!draft.rules().mayStart(draft.state(), draft.gate(), draft.now())) {
             return "the permit to start lapsed";
         }
@@ -183,7 +195,8 @@
         return null;
     }
 
-    private void follow(Job job, Attempt attempt) {
+    /** Sets {@code job} to running with every member starting, and sets the timers of the run. */
+    private void track(Job job, Attempt attempt) {
         PMap<Integer, MemberState> members = HashTreePMap.empty();
         for (Member member : attempt.members()) {
             members = members.plus(member.index(), MemberState.of(MemberState.Status.STARTING));
@@ -191,29 +204,30 @@
         long runDeadline = draft.now() + job.profile().runLimitMillis();
         draft.put(job.with(new Phase.Running(attempt, members, draft.now(), runDeadline, Optional.empty())));
         draft.addTimer(runDeadline, Timer.Kind.RUN_DEADLINE, job.id(), attempt.number());
-        long silentAt = draft.now()
+        long confirmBy = draft.now()
                 + draft.policy().startWindowMillis()
                 + draft.policy().stopTimeoutMillis();
-        draft.addTimer(silentAt, Timer.Kind.STEP_TIMEOUT, job.id(), attempt.number());
+        draft.addTimer(confirmBy, Timer.Kind.STEP_TIMEOUT, job.id(), attempt.number());
     }
 
-    /** Follows an attempt whose starts an earlier leader may have sent; its targets say what became of it. */
+    /** Tracks an attempt whose starts an earlier leader may have sent, until its targets report on the members. */
     void resumeTracking(Job job, Attempt attempt) {
         draft.put(job);
         draft.occupy(job, attempt);
-        follow(job, attempt);
-        boolean crowded =
-                attempt.members().stream().anyMatch(m -> crowded(draft.fleet().target(m.target())));
-        if (crowded) {
+        track(job, attempt);
+        boolean overcommitted = attempt.members().stream()
+                .anyMatch(m -> isOvercommitted(draft.fleet().target(m.target())));
+        if (overcommitted) {
             new Membership(draft).reassignGuarantees();
         }
     }
 
-    private static boolean crowded(TargetState target) {
+    /** Returns whether guarantees and irrevocable work together exceed the accelerators of {@code target}. */
+    private static boolean isOvercommitted(TargetState target) {
         return Shares.committed(target.owned(), target.load().irrevocableByAccount()) > target.capacity();
     }
 
-    private void loseSilent(Job job, Phase.Running running) {
+    private void markUnconfirmedLost(Job job, Phase.Running running) {
         RunTracker tracker = new RunTracker(draft);
         for (Member member : running.attempt().members()) {
             if (running.members().get(member.index()).status() == MemberState.Status.STARTING) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
@@ -6,19 +6,22 @@
 import java.util.Map;
 
 /**
- * Chooses which running work is taken off a target for a claim. Changes nothing.
+ * Selection of the work that is preempted on a target for a claim.
  *
- * <p>Stateless.
+ * <p>The methods read the draft and never change it.
  */
 final class Victims {
-    private static final Comparator<Job> LEAST_URGENT_THEN_YOUNGEST = Comparator.comparingInt(
+    private static final Comparator<Job> LOWEST_PRIORITY_THEN_NEWEST = Comparator.comparingInt(
                     (Job j) -> j.profile().priority())
             .thenComparing(Comparator.comparingLong(Victims::startedAt).reversed())
             .thenComparing(Job::id);
 
     private Victims() {}
 
-    /** Returns the accelerators on {@code target} of the claimant's own revocable work of a lower priority. */
+    /**
+     * Returns how many accelerators of {@code target} are occupied by revocable work that belongs to the account of the
+     * claimant and has a lower priority than the claimant.
+     */
     static int ownPreemptibleUnits(Draft draft, TargetState target, Job claimant) {
         if (target.load().usageOf(claimant.account()).revocable() == 0) {
             return 0;
@@ -26,7 +29,7 @@
         int units = 0;
         for (String id : target.load().jobs()) {
             Job job = draft.job(id);
-            if (job != null && job.account().equals(claimant.account()) && lower(job, claimant)) {
+            if (job != null && job.account().equals(claimant.account()) && hasLowerPriority(job, claimant)) {
                 units += unitsOn(job, target);
             }
         }
@@ -34,23 +37,31 @@
     }
 
     /**
-     * Returns work to take off {@code target} so that the claimant's promised accelerators become free: what other
-     * accounts borrow there, then the claimant's own work of a lower priority, or all of its own if {@code drain}.
+     * Returns the jobs to preempt on {@code target} so that the accelerators claimed there become free, lowest priority
+     * first and the newest first among equals.
+     *
+     * <p>Candidates are revocable jobs of accounts that occupy more than their guarantee there, and those of the
+     * claimant's own account: the ones with a lower priority, or all of them for a drain. A drain spares jobs as
+     * described at {@link #isSpared}.
+     *
+     * @param drain whether the claim is a drain for a large job
+     * @return the jobs, or an empty list if enough accelerators are free or being revoked already
      */
     static List<Job> select(Draft draft, TargetState target, Job claimant, boolean drain) {
-        int others = drain ? 0 : target.load().setAside();
-        int missing = -target.free() - others - target.load().revoking();
+        // Drains yield to claims of guaranteed accelerators, so these preempt nothing on behalf of a drain.
+        int drained = drain ? 0 : target.load().setAside();
+        int missing = -target.free() - drained - target.load().revoking();
         if (missing <= 0) {
             return List.of();
         }
         List<Job> candidates = new ArrayList<>();
         for (String id : target.load().jobs()) {
             Job job = draft.job(id);
-            if (job != null && mayTake(job, target, claimant, drain)) {
+            if (job != null && mayPreempt(job, target, claimant, drain)) {
                 candidates.add(job);
             }
         }
-        candidates.sort(LEAST_URGENT_THEN_YOUNGEST);
+        candidates.sort(LOWEST_PRIORITY_THEN_NEWEST);
         List<Job> chosen = new ArrayList<>();
         for (Job job : candidates) {
             if (missing <= 0) {
@@ -62,27 +73,32 @@
         return chosen;
     }
 
-    /** Returns whether enough of {@code target} is free or can be taken off for the claimant's {@code units}. */
-    static boolean clearable(Draft draft, TargetState target, Job claimant, int units) {
-        int kept = 0;
+    /**
+     * Returns whether {@code target} has {@code units} accelerators that are free or can be preempted for the claimant.
+     */
+    static boolean canClear(Draft draft, TargetState target, Job claimant, int units) {
+        int retained = 0;
         for (Map.Entry<String, AccountUsage> entry : target.load().usage().entrySet()) {
             AccountUsage use = entry.getValue();
             boolean own = entry.getKey().equals(claimant.account());
             int owned = own ? 0 : target.owned().getOrDefault(entry.getKey(), 0);
-            int staying = use.irrevocable() + spared(draft, target, claimant, entry.getKey());
-            kept += Math.max(staying, Math.min(owned, use.total()));
+            int unpreemptible = use.irrevocable() + sparedUnits(draft, target, claimant, entry.getKey());
+            retained += Math.max(unpreemptible, Math.min(owned, use.total()));
         }
         int othersClaims = target.load().claimed() - units;
-        return target.capacity() - kept - othersClaims >= units;
+        return target.capacity() - retained - othersClaims >= units;
     }
 
-    /** Returns whether a job is left alone when places are set aside: else two large jobs could evict each other. */
+    /**
+     * Returns whether a drain for {@code claimant} spares {@code job}, which is at least as large. Otherwise two large
+     * jobs could preempt each other in turn.
+     */
     static boolean isSpared(Job job, Job claimant) {
         return job.profile().shape().accelerators()
                 >= claimant.profile().shape().accelerators();
     }
 
-    private static int spared(Draft draft, TargetState target, Job claimant, String account) {
+    private static int sparedUnits(Draft draft, TargetState target, Job claimant, String account) {
         int units = 0;
         for (String id : target.load().jobs()) {
             Job job = draft.job(id);
@@ -93,23 +109,23 @@
         return units;
     }
 
-    /** Returns the accelerators that {@code job} occupies on {@code target}. */
+    /** Returns the accelerators that {@code job} occupies on {@code target}; claimed ones are not occupied. */
     static int unitsOn(Job job, TargetState target) {
         return job.phase() instanceof Phase.Claiming ? 0 : job.unitsOn(target.id());
     }
 
-    private static boolean mayTake(Job job, TargetState target, Job claimant, boolean drain) {
+    private static boolean mayPreempt(Job job, TargetState target, Job claimant, boolean drain) {
         boolean spared = drain && isSpared(job, claimant);
-        if (!removable(job.phase()) || !job.profile().revocable() || spared) {
+        if (!isPreemptible(job.phase()) || !job.profile().revocable() || spared) {
             return false;
         }
         if (job.account().equals(claimant.account())) {
-            return drain || lower(job, claimant);
+            return drain || hasLowerPriority(job, claimant);
         }
         return target.borrowedBy(job.account()) > 0;
     }
 
-    private static boolean removable(Phase phase) {
+    private static boolean isPreemptible(Phase phase) {
         return switch (phase) {
             case Phase.Running running -> running.revocation().isEmpty();
             case Phase.Reserving reserving -> true;
@@ -121,7 +137,7 @@
         };
     }
 
-    private static boolean lower(Job job, Job claimant) {
+    private static boolean hasLowerPriority(Job job, Job claimant) {
         return job.profile().revocable()
                 && job.profile().priority() < claimant.profile().priority();
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Violation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Violation.java
@@ -17,7 +17,7 @@
         GUARANTEE,
         /** A claim of an account on units that it owns gets them by its deadline. */
         RECLAIM_BOUND,
-        /** A large job gets the places that are set aside for it by its deadline, if it has one. */
+        /** A large job gets the places that are drained for it by its deadline, if it has one. */
         LARGE_JOB_BOUND,
         /** A gang starts only with all places reserved, and is revoked as a whole once one of its members is gone. */
         GANG_WHOLE,
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
@@ -52,7 +52,7 @@
     void lendingSetAsidePlacesForeverIsNoticed() throws Exception {
         noticed(Invariant.LARGE_JOB_BOUND, new Rules() {
             @Override
-            boolean mayBackfill(boolean ownerWaits, boolean endsInTime) {
+            boolean mayBackfill(boolean drainBlocked, boolean endsInTime) {
                 return true;
             }
         });
