--- a/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
@@ -122,7 +122,7 @@
         if (job == null || job.cancelRequested()) {
             return;
         }
-        draft.note(PART, job, "cancel asked");
+        draft.note(PART, job, "cancellation requested");
         Job cancelled = job.withCancelRequested();
         draft.put(cancelled);
         switch (cancelled.phase()) {
