--- a/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
@@ -13,7 +13,7 @@
  * Checks every decision against the invariants that the system guarantees.
  *
  * <p>The checks read events, commands and states and share no code with the classes that make the decisions, so that a
- * fault in these is not repeated here. {@link #check} takes time linear in the number of targets and commands that the
+ * fault there cannot hide itself here. {@link #check} takes time linear in the number of targets and commands that the
  * decision touched, {@link #audit} time linear in the size of the state. Not thread-safe; used by the thread that makes
  * the decisions.
  */
--- a/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
@@ -45,7 +45,7 @@
 
     /**
      * Returns places among the guaranteed slices of the account, whether or not other work occupies them now. Prefers
-     * targets on which the most of them are free already.
+     * targets on which most of the needed accelerators are free already.
      */
     Optional<List<Member>> findClaimable() {
         int needed = profile.shape().targets();
@@ -102,7 +102,7 @@
 
     private boolean fitsNow(TargetState target) {
         int units = units(target);
-        // A target with recent failures takes only single idempotent members, which can be retried elsewhere.
+        // A target with recent failures takes only idempotent jobs with one member, which can be retried elsewhere.
         boolean trusted =
                 target.health().accountsByFailedRequest().isEmpty() || profile.idempotent() && !profile.gang();
         return draft.rules().acceptsWork(target)
--- a/acacia-core/src/main/java/org/acaciaport/decision/Rules.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Rules.java
@@ -51,10 +51,7 @@
         return job.profile().idempotent();
     }
 
-    /**
-     * Returns whether requests of {@code profile} must wait while the same account has queued requests of {@code
-     * other}.
-     */
+    /** Returns whether requests of {@code profile} wait while the same account has queued requests of {@code other}. */
     boolean waitsFor(Profile profile, Profile other) {
         return other.precedes().contains(profile.name());
     }
