--- a/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
@@ -7,7 +7,8 @@
 import org.acaciaport.config.Adjacency;
 
 /**
- * Drains targets for the large job that has waited longest, one job at a time, and finds backfill for them meanwhile.
+ * Drains targets for the large job that has waited longest: sets places on them aside for this job, one job at a time,
+ * and finds backfill for these places meanwhile.
  *
  * <p>The planner prefers targets on which the job fits beside the guarantees of other accounts, and among these the
  * ones whose work that cannot be preempted ends first. Since every run has a limit, such a drain has a deadline. A job
--- a/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
@@ -4,10 +4,10 @@
 import org.acaciaport.config.Treatment;
 
 /**
- * Revokes running work from its targets in stages: checkpoint, then throttle (pause on the target), then stop.
+ * Revokes running work from its targets by successive treatments: checkpoint, throttle (pause on the target), stop.
  *
- * <p>Revocation omits the stages that the profile does not allow. Each stage has a deadline, after which the
- * next one begins.
+ * <p>Revocation omits the treatments that the profile does not allow. Each one has a deadline, after which the next one
+ * begins.
  *
  * <p>Not thread-safe; each instance serves a single decision.
  */
@@ -41,25 +41,26 @@
         }
     }
 
-    /** Begins to revoke {@code job} with the first stage that its profile allows. */
+    /** Begins to revoke {@code job} with the first treatment that its profile allows. */
     void revoke(Job job, Revocation.Cause cause, String reason) {
-        begin(job, cause, nextStage(job, Optional.empty()).orElse(Treatment.STOP), reason);
+        begin(job, cause, nextTreatment(job, Optional.empty()).orElse(Treatment.STOP), reason);
     }
 
-    /** Begins to revoke {@code job} with a stop, without the milder stages. */
+    /** Begins to revoke {@code job} with a stop, without the milder treatments. */
     void stop(Job job, Revocation.Cause cause, String reason) {
         begin(job, cause, Treatment.STOP, reason);
     }
 
     /**
-     * Moves on to the next stage if the current one has passed its deadline; after the last, the members count as lost.
+     * Moves on to the next treatment if the current one has passed its deadline; after the last, the members count as
+     * lost.
      */
     void escalate(Job job, Phase.Running running) {
         Revocation revocation = running.revocation().orElseThrow();
         if (draft.now() < revocation.deadline()) {
             return;
         }
-        Optional<Treatment> next = nextStage(job, Optional.of(revocation.treatment()));
+        Optional<Treatment> next = nextTreatment(job, Optional.of(revocation.treatment()));
         if (next.isEmpty()) {
             markRemainingLost(job, running);
             return;
@@ -70,7 +71,7 @@
                 new Revocation(revocation.cause(), next.get(), deadline(running, next.get()), revocation.reason()));
     }
 
-    private void begin(Job job, Revocation.Cause cause, Treatment stage, String reason) {
+    private void begin(Job job, Revocation.Cause cause, Treatment treatment, String reason) {
         Phase.Running running = (Phase.Running) job.phase();
         if (running.revocation().isEmpty()) {
             for (Member member : running.attempt().members()) {
@@ -79,11 +80,13 @@
                 }
             }
         }
-        draft.note(PART, job, "treatment=" + stage + " why=" + reason);
-        treat(job, running, new Revocation(cause, stage, deadline(running, stage), reason));
+        draft.note(PART, job, "treatment=" + treatment + " why=" + reason);
+        treat(job, running, new Revocation(cause, treatment, deadline(running, treatment), reason));
     }
 
-    /** Makes {@code revocation} the current stage and sends it to all members that still occupy accelerators. */
+    /**
+     * Makes {@code revocation} the one under way and sends its treatment to all members that still occupy accelerators.
+     */
     private void treat(Job job, Phase.Running running, Revocation revocation) {
         draft.put(job.with(running.with(revocation)));
         draft.addTimer(
@@ -114,10 +117,10 @@
     }
 
     /**
-     * Returns the stage after {@code previous}, or the first one if that is empty; skips a throttle that is not
+     * Returns the treatment after {@code previous}, or the first one if that is empty; skips a throttle that is not
      * possible.
      */
-    private Optional<Treatment> nextStage(Job job, Optional<Treatment> previous) {
+    private Optional<Treatment> nextTreatment(Job job, Optional<Treatment> previous) {
         Optional<Treatment> next = job.profile().treatmentAfter(previous);
         boolean skip = next.isPresent() && next.get() == Treatment.THROTTLE && !mayThrottle(job);
         return skip ? job.profile().treatmentAfter(next) : next;
@@ -135,13 +138,13 @@
     }
 
     /**
-     * Returns the deadline of {@code stage}, in milliseconds. A start in flight may arrive after a stop that was sent
-     * later, so the time allowed for a stop does not begin before the start deadline of members that are still
+     * Returns the deadline of {@code treatment}, in milliseconds. A start in flight may arrive after a stop that was
+     * sent later, so the time allowed for a stop does not begin before the start deadline of members that are still
      * starting.
      */
-    private long deadline(Phase.Running running, Treatment stage) {
+    private long deadline(Phase.Running running, Treatment treatment) {
         boolean starting = running.members().values().stream().anyMatch(m -> m.status() == MemberState.Status.STARTING);
-        return switch (stage) {
+        return switch (treatment) {
             case CHECKPOINT -> draft.now() + draft.policy().checkpointTimeoutMillis();
             case THROTTLE -> draft.now() + draft.policy().throttleTimeoutMillis();
             case STOP ->
--- a/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
@@ -157,9 +157,12 @@
             draft.enqueue(job);
             return;
         }
-        String cause = "taken off before it could be checkpointed: " + reason;
+        String outcomeReason = "taken off before it could be checkpointed: " + reason;
         draft.finish(
-                job, anyIs(running, MemberState.Status.LOST) ? new Outcome.Unknown(cause) : new Outcome.Failed(cause));
+                job,
+                anyIs(running, MemberState.Status.LOST)
+                        ? new Outcome.Unknown(outcomeReason)
+                        : new Outcome.Failed(outcomeReason));
     }
 
     /** Retries a failed job with backoff while its failure limit and the retry budget of its profile allow it. */
