--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/CallerService.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/CallerService.java
@@ -15,16 +15,22 @@
 import org.acaciaport.wire.Message;
 
 /**
- * Callers' HTTP interface: submit, look up, wait, cancel and explain requests.
+ * The HTTP interface for callers: submit, look up, wait for, cancel and explain requests.
  *
- * <p>Safe for use by several threads; holds no request of its own. While draining, waits end early with the present
- * status instead of an error.
+ * <p>Keeps no state of any request; the schedulers hold it. Deadlines are readings of {@link System#nanoTime}.
+ *
+ * <p>Thread-safe.
  */
 final class CallerService implements HttpService {
-    private static final long DEFAULT_MILLIS = 10_000;
-    private static final long MOST_WAIT_MILLIS = 60_000;
-    private static final long WAIT_STEP_MILLIS = 2_000;
-    private static final int MOST_KEY_LENGTH = 128;
+    /** Time allowed for routing and retries, besides the wait that the caller asks for. */
+    private static final long ROUTING_TIMEOUT_MILLIS = 10_000;
+
+    private static final long MAX_WAIT_MILLIS = 60_000;
+
+    /** Longest wait at a scheduler in one query; a drain ends a caller's wait within this time. */
+    private static final long MAX_WAIT_PER_QUERY_MILLIS = 2_000;
+
+    private static final int MAX_FIELD_CHARACTERS = 128;
     private static final int BAD_REQUEST = 400;
     private static final int CONFLICT = 409;
     private static final int NOT_FOUND = 404;
@@ -38,21 +44,21 @@
     }
 
     /**
-     * Body of a submission.
+     * The body of a submission.
      *
      * @param account name of the client account
      * @param profile name of the profile
-     * @param key idempotency key; made up if the body has none
+     * @param key idempotency key; generated if the body has none
      * @param payload opaque input
      */
     record Submission(String account, String profile, String key, String payload) {}
 
-    /** Makes waits end early. */
+    /** Makes present and later waits return the current status early instead of waiting for the final answer. */
     void drain() {
         draining = true;
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return draining;
     }
 
@@ -62,15 +68,15 @@
             return submit(call);
         }
         if (call.matches("GET", 3, "v1", "requests")) {
-            return status(call.path().get(2), call.number("wait", 0, MOST_WAIT_MILLIS));
+            return awaitStatus(call.path().get(2), call.number("wait", 0, MAX_WAIT_MILLIS));
         }
         if (call.matches("DELETE", 3, "v1", "requests")) {
-            return reply(router.about(
-                    call.path().get(2), new Message.Cancel(call.path().get(2)), deadline(0)));
+            return toHttpReply(router.forward(
+                    call.path().get(2), new Message.Cancel(call.path().get(2)), deadlineAfterWait(0)));
         }
         if (call.matches("GET", 4, "v1", "requests") && call.path().get(3).equals("explain")) {
-            return reply(router.about(
-                    call.path().get(2), new Message.Explain(call.path().get(2)), deadline(0)));
+            return toHttpReply(router.forward(
+                    call.path().get(2), new Message.Explain(call.path().get(2)), deadlineAfterWait(0)));
         }
         throw HttpProblem.notFound(
                 "no such path or method",
@@ -78,16 +84,18 @@
     }
 
     private HttpReply submit(HttpCall call) throws HttpProblem {
-        Submission submission = read(call);
-        long wait = call.number("wait", 0, MOST_WAIT_MILLIS);
+        Submission submission = readSubmission(call);
+        long waitMillis = call.number("wait", 0, MAX_WAIT_MILLIS);
         Message.Submit submit =
                 new Message.Submit(submission.account(), submission.profile(), submission.key(), submission.payload());
-        Message reply = router.submit(submit, deadline(0));
+        Message reply = router.submit(submit, deadlineAfterWait(0));
         boolean pending = reply instanceof Message.Status status && status.outcome() == null;
-        return wait > 0 && pending ? status(((Message.Status) reply).request(), wait) : reply(reply);
+        return waitMillis > 0 && pending
+                ? awaitStatus(((Message.Status) reply).request(), waitMillis)
+                : toHttpReply(reply);
     }
 
-    private static Submission read(HttpCall call) throws HttpProblem {
+    private static Submission readSubmission(HttpCall call) throws HttpProblem {
         JsonNode tree = call.read(JsonNode.class);
         if (!(tree instanceof ObjectNode body)) {
             throw HttpProblem.invalid("the body is not a JSON object", "send account, profile, key and payload");
@@ -101,48 +109,51 @@
         } catch (JsonProcessingException e) {
             throw HttpProblem.invalid(JsonProblems.describe(e), "correct the body and send it again");
         }
-        text("account", submission.account(), MOST_KEY_LENGTH);
-        text("profile", submission.profile(), MOST_KEY_LENGTH);
-        text("key", submission.key(), MOST_KEY_LENGTH);
+        checkLength("account", submission.account(), MAX_FIELD_CHARACTERS);
+        checkLength("profile", submission.profile(), MAX_FIELD_CHARACTERS);
+        checkLength("key", submission.key(), MAX_FIELD_CHARACTERS);
         if (submission.payload() == null) {
             throw HttpProblem.invalid("field 'payload' is null", "send a string, which may be empty");
         }
         return submission;
     }
 
-    private static void text(String field, String value, int most) throws HttpProblem {
-        if (value == null || value.isEmpty() || value.length() > most) {
+    private static void checkLength(String field, String value, int maxCharacters) throws HttpProblem {
+        if (value == null || value.isEmpty() || value.length() > maxCharacters) {
             throw HttpProblem.invalid(
-                    "field '" + field + "' is empty or over " + most + " characters", "send 1 to " + most);
+                    "field '" + field + "' is empty or over " + maxCharacters + " characters",
+                    "send 1 to " + maxCharacters);
         }
     }
 
-    private HttpReply status(String request, long wait) throws HttpProblem {
-        long deadline = deadline(wait);
+    /** Returns the request's final answer, or its current status once {@code waitMillis} have passed. */
+    private HttpReply awaitStatus(String requestId, long waitMillis) throws HttpProblem {
+        long deadlineNanos = deadlineAfterWait(waitMillis);
         while (true) {
-            long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime()) - DEFAULT_MILLIS;
-            long step = draining ? 0 : Math.max(0, Math.min(left, WAIT_STEP_MILLIS));
-            Message reply = router.about(request, new Message.Find(request, step), deadline);
+            long remainingWaitMillis =
+                    TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime()) - ROUTING_TIMEOUT_MILLIS;
+            long queryWaitMillis = draining ? 0 : Math.max(0, Math.min(remainingWaitMillis, MAX_WAIT_PER_QUERY_MILLIS));
+            Message reply = router.forward(requestId, new Message.Find(requestId, queryWaitMillis), deadlineNanos);
             boolean pending = reply instanceof Message.Status status && status.outcome() == null;
-            if (!pending || step == 0) {
-                return reply(reply);
+            if (!pending || queryWaitMillis == 0) {
+                return toHttpReply(reply);
             }
         }
     }
 
-    private static long deadline(long wait) {
-        return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(wait + DEFAULT_MILLIS);
+    private static long deadlineAfterWait(long waitMillis) {
+        return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis + ROUTING_TIMEOUT_MILLIS);
     }
 
-    private static HttpReply reply(Message message) throws HttpProblem {
+    private static HttpReply toHttpReply(Message message) throws HttpProblem {
         return switch (message) {
             case Message.Status status -> status.outcome() == null ? HttpReply.accepted(status) : HttpReply.ok(status);
-            case Message.Refused refused -> throw problem(refused);
+            case Message.Refused refused -> throw toHttpProblem(refused);
             default -> HttpReply.ok(message);
         };
     }
 
-    static HttpProblem problem(Message.Refused refused) {
+    static HttpProblem toHttpProblem(Message.Refused refused) {
         int status =
                 switch (refused.kind()) {
                     case INVALID -> BAD_REQUEST;
@@ -150,7 +161,7 @@
                     case NOT_FOUND -> NOT_FOUND;
                     case UNAVAILABLE -> UNAVAILABLE;
                 };
-        String kind = refused.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
-        return new HttpProblem(status, kind, refused.reason(), refused.remedy());
+        String error = refused.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return new HttpProblem(status, error, refused.reason(), refused.remedy());
     }
 }
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/Gateway.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/Gateway.java
@@ -12,9 +12,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * The gateway of one VM.
+ * The gateway process of one VM: its HTTP servers for callers and operators, and its connections to the schedulers.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe. Call {@link #start} once, and {@link #drain} once after it has returned.
  */
 @Singleton
 public final class Gateway implements ServerProgram.Running {
@@ -22,46 +22,47 @@
 
     private final GatewaySettings settings;
     private final MetricRegistry metrics;
-    private final Cells cells;
+    private final SchedulerClients schedulers;
     private final Router router;
     private final CallerService callerService;
-    private JsonServer callers;
-    private JsonServer operators;
+    private JsonServer callerServer;
+    private JsonServer operatorServer;
 
-    /** Creates a gateway that does nothing until started. */
+    /** Creates a gateway that neither listens nor connects until {@link #start}. */
     @Inject
     public Gateway(GatewaySettings settings, MetricRegistry metrics) {
         this.settings = settings;
         this.metrics = metrics;
-        cells = new Cells(settings, metrics);
-        router = new Router(settings, cells, metrics);
+        schedulers = new SchedulerClients(settings, metrics);
+        router = new Router(settings, schedulers, metrics);
         callerService = new CallerService(router);
     }
 
     /**
-     * Begins to listen.
+     * Starts polling the schedulers and listening for callers and operators.
      *
      * @throws HttpStartException if an address cannot be bound
      */
     public void start() throws HttpStartException {
-        cells.start();
-        OperatorService common = new OperatorService(metrics, this::health);
-        operators = JsonServer.start(address(settings.listen().operators()), new ViewService(common, cells, router));
-        callers = JsonServer.start(address(settings.listen().callers()), callerService);
+        schedulers.start();
+        OperatorService operatorService = new OperatorService(metrics, this::health);
+        operatorServer = JsonServer.start(
+                parseAddress(settings.listen().operators()), new ViewService(operatorService, schedulers, router));
+        callerServer = JsonServer.start(parseAddress(settings.listen().callers()), callerService);
         LOG.infof(
                 "gateway: started vm=%s data-centre=%s",
                 settings.vm().name(), settings.vm().dataCentre());
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         return SettingsCheck.parse(text);
     }
 
     private OperatorService.Health health() {
-        if (callerService.draining()) {
+        if (callerService.isDraining()) {
             return new OperatorService.Health(false, "stopping");
         }
-        boolean ready = cells.table().active().revision() >= 0;
+        boolean ready = schedulers.routingTable().activeConfiguration().revision() >= 0;
         return new OperatorService.Health(ready, ready ? "configuration in force" : "no scheduler has answered yet");
     }
 
@@ -70,9 +71,9 @@
         LOG.info("gateway: stopping");
         callerService.drain();
         Thread.sleep(settings.drain().noticeMillis());
-        callers.drain(settings.drain().limitMillis());
-        operators.stop();
-        cells.close();
+        callerServer.drain(settings.drain().limitMillis());
+        operatorServer.stop();
+        schedulers.close();
         LOG.info("gateway: stopped");
     }
 }
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewayComponent.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewayComponent.java
@@ -3,10 +3,9 @@
 import dagger.Component;
 import jakarta.inject.Singleton;
 
-/** Builds a {@link Gateway}. */
+/** The Dagger component that builds a {@link Gateway}. */
 @Singleton
 @Component(modules = GatewayModule.class)
 interface GatewayComponent {
-    /** Returns the gateway. */
     Gateway gateway();
 }
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewayMain.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewayMain.java
@@ -3,15 +3,15 @@
 import org.acaciaport.program.Logs;
 import org.acaciaport.program.ServerProgram;
 
-/** The {@code acacia-gateway} program. */
+/** The entry point of the {@code acacia-gateway} program. */
 public final class GatewayMain {
     private GatewayMain() {}
 
-    /** Runs the program. */
+    /** Runs the gateway until it is told to stop, then exits. */
     public static void main(String[] arguments) {
         ServerProgram<GatewaySettings> program = new ServerProgram<>(
                 "acacia-gateway",
-                "Takes callers' requests over HTTP and passes them to the schedulers.",
+                "Accepts callers' requests over HTTP and forwards them to the schedulers.",
                 GatewaySettings.class,
                 GatewayMain::start);
         System.exit(program.run(arguments).code());
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewayModule.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewayModule.java
@@ -5,7 +5,7 @@
 import dagger.Provides;
 import jakarta.inject.Singleton;
 
-/** Binds the gateway's settings. */
+/** The Dagger module that provides the gateway's settings and a metric registry. */
 @Module
 final class GatewayModule {
     private final GatewaySettings settings;
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewaySettings.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewaySettings.java
@@ -6,52 +6,53 @@
 import org.acaciaport.program.SettingsCheck;
 
 /**
- * Settings of the gateway.
+ * The settings of the gateway.
  *
  * <p>Immutable.
  *
- * @param vm who and where this process is
- * @param listen addresses it listens on
- * @param schedulers all schedulers that it may ask
- * @param drain how it stops
- * @param log how it writes its log
+ * @param vm identity and location of this process
+ * @param listen addresses that the gateway listens on
+ * @param schedulers all schedulers that the gateway may send queries to
+ * @param drain timing of the shutdown
+ * @param log format and level of the process log
  */
 public record GatewaySettings(Vm vm, Listen listen, List<Scheduler> schedulers, Drain drain, LogSettings log)
         implements Settings.Checked {
-    /** Copies the list. */
+    /** Creates settings with an immutable copy of the schedulers. */
     public GatewaySettings {
         schedulers = List.copyOf(schedulers);
     }
 
     /**
-     * Who and where this process is.
+     * The identity and location of this process.
      *
      * @param name unique name of the VM
-     * @param dataCentre name of its data centre
+     * @param dataCentre name of the VM's data centre
      */
     public record Vm(String name, String dataCentre) {}
 
     /**
-     * Addresses, as IP:PORT.
+     * The addresses that the gateway listens on, as IP:PORT.
      *
-     * @param callers for callers
-     * @param operators for health, metrics and views
+     * @param callers address of the HTTP interface for callers
+     * @param operators address of the HTTP interface for operators: health, metrics and views
      */
     public record Listen(String callers, String operators) {}
 
     /**
-     * A scheduler.
+     * One scheduler.
      *
-     * @param dataCentre name of its data centre
-     * @param address where it listens for programs, as IP:PORT
+     * @param dataCentre name of the scheduler's data centre
+     * @param address address that the scheduler listens on for other programs, as IP:PORT
      */
     public record Scheduler(String dataCentre, String address) {}
 
     /**
-     * How it stops.
+     * The timing of the shutdown.
      *
-     * @param noticeMillis how long it still accepts requests after it reports to be unhealthy, in milliseconds
-     * @param limitMillis how long requests in work may then take, in milliseconds
+     * @param noticeMillis how long the gateway still accepts requests after it reports that it is not ready, so that a
+     *     load balancer can remove it, in milliseconds
+     * @param limitMillis how long the gateway then waits for requests in progress, in milliseconds
      */
     public record Drain(long noticeMillis, long limitMillis) {}
 
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/Router.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/Router.java
@@ -15,143 +15,179 @@
 import org.jboss.logging.Logger;
 
 /**
- * Sends each query to the scheduler that answers for it and tries others while there is time.
+ * Forwards each query to the leading scheduler of a data centre, and fails over to other data centres until the query's
+ * deadline.
  *
- * <p>Safe for use by several threads. Asking twice is harmless: the key of a request decides on the log, whichever
- * scheduler was asked first.
+ * <p>Sending a submission more than once is safe: the log resolves duplicates by their idempotency key, whichever
+ * scheduler received the first one.
+ *
+ * <p>Deadlines are readings of {@link System#nanoTime}.
+ *
+ * <p>Thread-safe.
  */
 final class Router {
     private static final Logger LOG = Logger.getLogger(Router.class);
-    private static final long PAUSE_MILLIS = 100;
-    private static final long PAUSE_MOST_MILLIS = 800;
-    private static final long TRY_MILLIS = 3_000;
-    private static final char HOME_END = '_';
+    private static final long INITIAL_BACKOFF_MILLIS = 100;
+    private static final long MAX_BACKOFF_MILLIS = 800;
+
+    /** Limits the shift that doubles the backoff, so that it cannot overflow. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
+
+    /** Longest time to wait for one scheduler's reply, besides the wait that the query itself asks for. */
+    private static final long CALL_TIMEOUT_MILLIS = 3_000;
+
+    /** Separates the name of the home data centre from the rest of a request's identifier. */
+    private static final char HOME_DELIMITER = '_';
 
-    /** Another data centre is preferred once this many more requests wait in the own one. */
-    private static final int BACKLOG = 500;
+    /** A data centre is overloaded if its queue is longer than the shortest one by more than this many requests. */
+    private static final int OVERLOAD_EXCESS_REQUESTS = 500;
 
     private final GatewaySettings settings;
-    private final Cells cells;
+    private final SchedulerClients schedulers;
     private final MetricRegistry metrics;
-    private final RetryTokens tokens = new RetryTokens();
+    private final RetryBudget retryBudget = new RetryBudget();
 
-    Router(GatewaySettings settings, Cells cells, MetricRegistry metrics) {
+    Router(GatewaySettings settings, SchedulerClients schedulers, MetricRegistry metrics) {
         this.settings = settings;
-        this.cells = cells;
+        this.schedulers = schedulers;
         this.metrics = metrics;
     }
 
-    /** Hands a request in and returns the first definite reply, or the last refusal once the deadline has passed. */
-    Message submit(Message.Submit submit, long deadline) {
-        tokens.earn();
-        Message last = unavailable("no scheduler answered in time");
-        for (int tries = 0; left(deadline) > 0; tries++) {
-            if (tries > 0 && !tokens.spend()) {
+    /**
+     * Submits a request and returns the first definitive reply.
+     *
+     * <p>Without one, returns the last refusal once the deadline has passed, or an {@code UNAVAILABLE} refusal as soon
+     * as the retry budget is exhausted.
+     */
+    Message submit(Message.Submit submit, long deadlineNanos) {
+        retryBudget.deposit();
+        Message lastReply = unavailable("no scheduler answered in time");
+        for (int attempt = 0; remainingMillis(deadlineNanos) > 0; attempt++) {
+            if (attempt > 0 && !retryBudget.tryWithdraw()) {
                 return unavailable("no scheduler answered and too many requests are being retried");
             }
-            for (String dataCentre : order(submit)) {
-                Message reply = askLeader(dataCentre, submit, deadline);
-                if (definite(reply)) {
+            for (String dataCentre : rankDataCentres(submit)) {
+                Message reply = callLeader(dataCentre, submit, deadlineNanos);
+                if (isDefinitive(reply)) {
                     return reply;
                 }
-                last = reply instanceof Message.Refused ? reply : last;
+                lastReply = reply instanceof Message.Refused ? reply : lastReply;
             }
-            pause(tries, deadline);
+            backOff(attempt, deadlineNanos);
         }
-        return last;
+        return lastReply;
     }
 
-    /** Asks about a request, wherever it is answered for. */
-    Message about(String request, Message query, long deadline) {
-        Message last = notFound(request);
-        for (int tries = 0; tries == 0 || left(deadline) > 0; tries++) {
-            for (String dataCentre : homeFirst(request)) {
-                Message reply = askLeader(dataCentre, query, deadline);
-                if (definite(reply)) {
+    /**
+     * Forwards {@code query} about the request with identifier {@code requestId} and returns the first definitive
+     * reply.
+     *
+     * <p>Tries the request's home data centre first, then the others. Without a definitive reply, returns the last
+     * refusal: at once if it is {@code NOT_FOUND}, otherwise after the deadline. Tries each data centre at least once,
+     * even if the deadline has passed.
+     */
+    Message forward(String requestId, Message query, long deadlineNanos) {
+        Message lastReply = notFound(requestId);
+        for (int attempt = 0; attempt == 0 || remainingMillis(deadlineNanos) > 0; attempt++) {
+            for (String dataCentre : dataCentresHomeFirst(requestId)) {
+                Message reply = callLeader(dataCentre, query, deadlineNanos);
+                if (isDefinitive(reply)) {
                     return reply;
                 }
-                last = reply instanceof Message.Refused ? reply : last;
+                lastReply = reply instanceof Message.Refused ? reply : lastReply;
             }
-            if (last instanceof Message.Refused refused && refused.kind() == Message.Refused.Kind.NOT_FOUND) {
-                return last;
+            if (lastReply instanceof Message.Refused refused && refused.kind() == Message.Refused.Kind.NOT_FOUND) {
+                return lastReply;
             }
-            pause(tries, deadline);
+            backOff(attempt, deadlineNanos);
         }
-        return last;
+        return lastReply;
     }
 
-    /** Asks the leader of {@code dataCentre}, following one hint to another scheduler. */
-    Message askLeader(String dataCentre, Message query, long deadline) {
-        Optional<String> leader = cells.table().leaderOf(dataCentre);
+    /** Sends {@code query} to the leader of {@code dataCentre}, and follows at most one redirect. */
+    Message callLeader(String dataCentre, Message query, long deadlineNanos) {
+        Optional<String> leader = schedulers.routingTable().leaderOf(dataCentre);
         if (leader.isEmpty()) {
             return unavailable("no scheduler leads data centre " + dataCentre);
         }
-        Message reply = ask(leader.get(), query, deadline);
+        Message reply = call(leader.get(), query, deadlineNanos);
         if (reply instanceof Message.Elsewhere elsewhere
                 && !elsewhere.address().isEmpty()
                 && !elsewhere.address().equals(leader.get())) {
-            return ask(elsewhere.address(), query, deadline);
+            return call(elsewhere.address(), query, deadlineNanos);
         }
         return reply;
     }
 
-    private Message ask(String address, Message query, long deadline) {
-        long wait = query instanceof Message.Find find ? find.waitMillis() : 0;
+    private Message call(String address, Message query, long deadlineNanos) {
+        long waitMillis = query instanceof Message.Find find ? find.waitMillis() : 0;
         try {
-            return cells.ask(address, query, Math.max(1, Math.min(left(deadline), TRY_MILLIS + wait)));
+            return schedulers.call(
+                    address,
+                    query,
+                    Math.max(1, Math.min(remainingMillis(deadlineNanos), CALL_TIMEOUT_MILLIS + waitMillis)));
         } catch (WireException e) {
             LOG.debugf("route: no reply, scheduler=%s, %s", address, e.getMessage());
             return unavailable("scheduler " + address + " did not answer");
         }
     }
 
-    /** The own data centre first unless it is out or far behind, the others in an order fixed by the key. */
-    private List<String> order(Message.Submit submit) {
-        RoutingTable table = cells.table();
-        String own = settings.vm().dataCentre();
+    /**
+     * Returns the data centres that can accept {@code submit}, the preferred one first.
+     *
+     * <p>Data centres that are not overloaded come first; within each group the local one leads, and a hash of the
+     * idempotency key orders the others, so that repeated submissions try them in the same order.
+     */
+    private List<String> rankDataCentres(Message.Submit submit) {
+        RoutingTable routingTable = schedulers.routingTable();
+        String localDataCentre = settings.vm().dataCentre();
         List<String> rejected = new ArrayList<>();
-        List<String> order = new ArrayList<>();
-        for (DataCentre dataCentre : table.active().configuration().dataCentres()) {
+        List<String> ranked = new ArrayList<>();
+        for (DataCentre dataCentre :
+                routingTable.activeConfiguration().configuration().dataCentres()) {
             String name = dataCentre.name();
-            if (!table.active().inService(name)) {
+            if (!routingTable.activeConfiguration().inService(name)) {
                 rejected.add(name + ":out");
-            } else if (table.leaderOf(name).isEmpty()) {
+            } else if (routingTable.leaderOf(name).isEmpty()) {
                 rejected.add(name + ":no-leader");
             } else {
-                order.add(name);
+                ranked.add(name);
             }
         }
-        int least = order.stream().mapToInt(table::waitingAt).min().orElse(0);
-        order.sort(Comparator.comparingInt((String name) -> rank(table, name, own, least))
+        int shortestQueue =
+                ranked.stream().mapToInt(routingTable::waitingRequests).min().orElse(0);
+        ranked.sort(Comparator.comparingInt((String name) -> rank(routingTable, name, localDataCentre, shortestQueue))
                 .thenComparingInt(name -> Hashing.murmur3_32_fixed()
                         .hashString(submit.account() + submit.key() + name, StandardCharsets.UTF_8)
                         .asInt()));
         LOG.infof(
                 "route: account=%s key=%s order=%s why=own data centre first rejected=%s",
-                submit.account(), submit.key(), order, rejected);
+                submit.account(), submit.key(), ranked, rejected);
         metrics.meter("route.requests").mark();
-        return order;
+        return ranked;
     }
 
-    private static int rank(RoutingTable table, String name, String own, int least) {
-        boolean behind = table.waitingAt(name) - least > BACKLOG;
-        return (behind ? 2 : 0) + (name.equals(own) ? 0 : 1);
+    private static int rank(RoutingTable routingTable, String name, String localDataCentre, int shortestQueue) {
+        boolean overloaded = routingTable.waitingRequests(name) - shortestQueue > OVERLOAD_EXCESS_REQUESTS;
+        return (overloaded ? 2 : 0) + (name.equals(localDataCentre) ? 0 : 1);
     }
 
-    private List<String> homeFirst(String request) {
-        int end = request.indexOf(HOME_END);
-        String home = end < 0 ? settings.vm().dataCentre() : request.substring(0, end);
-        List<String> order = new ArrayList<>();
-        order.add(home);
-        for (DataCentre dataCentre : cells.table().active().configuration().dataCentres()) {
+    private List<String> dataCentresHomeFirst(String requestId) {
+        int homeEnd = requestId.indexOf(HOME_DELIMITER);
+        String home = homeEnd < 0 ? settings.vm().dataCentre() : requestId.substring(0, homeEnd);
+        List<String> names = new ArrayList<>();
+        names.add(home);
+        for (DataCentre dataCentre :
+                schedulers.routingTable().activeConfiguration().configuration().dataCentres()) {
             if (!dataCentre.name().equals(home)) {
-                order.add(dataCentre.name());
+                names.add(dataCentre.name());
             }
         }
-        return order;
+        return names;
     }
 
-    private static boolean definite(Message reply) {
+    /** Returns whether {@code reply} settles the query, so that no other scheduler need be asked. */
+    private static boolean isDefinitive(Message reply) {
         return switch (reply) {
             case Message.Elsewhere elsewhere -> false;
             case Message.Refused refused ->
@@ -165,21 +201,24 @@
                 Message.Refused.Kind.UNAVAILABLE, reason, "send the same request with the same key again");
     }
 
-    private static Message notFound(String request) {
+    private static Message notFound(String requestId) {
         return new Message.Refused(
                 Message.Refused.Kind.NOT_FOUND,
-                "no request '" + request + "' is known",
+                "no request '" + requestId + "' is known",
                 "check the identifier, or submit again with the same key");
     }
 
-    private static long left(long deadline) {
-        return TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+    private static long remainingMillis(long deadlineNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
     }
 
-    private static void pause(int tries, long deadline) {
-        long most = Math.min(PAUSE_MOST_MILLIS, PAUSE_MILLIS << Math.min(tries, 4));
-        long millis =
-                Math.min(left(deadline), most / 2 + ThreadLocalRandom.current().nextLong(most / 2 + 1));
+    /** Sleeps for an exponential backoff with jitter, at most until the deadline. */
+    private static void backOff(int attempt, long deadlineNanos) {
+        long maxMillis =
+                Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(attempt, MAX_BACKOFF_DOUBLINGS));
+        long millis = Math.min(
+                remainingMillis(deadlineNanos),
+                maxMillis / 2 + ThreadLocalRandom.current().nextLong(maxMillis / 2 + 1));
         try {
             Thread.sleep(Math.max(0, millis));
         } catch (InterruptedException e) {
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/ViewService.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/ViewService.java
@@ -12,98 +12,117 @@
 import org.acaciaport.wire.Message;
 
 /**
- * The operators' views on the gateway: configuration, data centres, schedulers and targets, besides what every program
- * has.
+ * The HTTP interface for operators: read-only views of the configuration, the data centres, the schedulers and the
+ * targets. Passes all other calls on to the service that every server program has.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class ViewService implements HttpService {
-    private static final long ASK_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long QUERY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-    private final HttpService common;
-    private final Cells cells;
+    private final HttpService commonService;
+    private final SchedulerClients schedulers;
     private final Router router;
 
-    ViewService(HttpService common, Cells cells, Router router) {
-        this.common = common;
-        this.cells = cells;
+    ViewService(HttpService commonService, SchedulerClients schedulers, Router router) {
+        this.commonService = commonService;
+        this.schedulers = schedulers;
         this.router = router;
     }
 
     /**
      * One data centre as the gateway sees it.
      *
-     * @param name its name
-     * @param inService whether it is in service
-     * @param leader address of the scheduler that leads it; empty if none is known
-     * @param epoch epoch of that leader
-     * @param waiting requests waiting there
+     * @param name name of the data centre
+     * @param inService whether the data centre is in service
+     * @param leader address of the scheduler that leads the data centre; empty if none is known
+     * @param epoch epoch of the leader; 0 if none is known
+     * @param waiting number of requests that wait at the leader
      */
-    record CellView(String name, boolean inService, String leader, long epoch, int waiting) {}
+    record DataCentreView(String name, boolean inService, String leader, long epoch, int waiting) {}
 
-    /** All data centres, and the revision in force. */
-    record CellsView(long revision, List<CellView> dataCentres) {}
+    /**
+     * All data centres of the configuration in force.
+     *
+     * @param revision revision of the configuration in force; -1 before the first
+     * @param dataCentres the data centres, in the order of the configuration
+     */
+    record DataCentresView(long revision, List<DataCentreView> dataCentres) {}
 
     /**
      * One scheduler as the gateway sees it.
      *
-     * @param address its address
-     * @param answers whether it answered lately
-     * @param dataCentre its data centre
-     * @param leads whether it leads there
+     * @param address address of the scheduler
+     * @param answers whether its last view is still fresh
+     * @param dataCentre name of its data centre
+     * @param leads whether it leads its data centre
      * @param logAvailable whether it can reach the log
-     * @param revision newest revision that it holds
+     * @param revision newest configuration revision that it holds
      */
     record SchedulerView(
             String address, boolean answers, String dataCentre, boolean leads, boolean logAvailable, long revision) {}
 
-    /** All schedulers that ever answered. */
+    /** All schedulers that have answered since the gateway started, ordered by address. */
     record SchedulersView(List<SchedulerView> schedulers) {}
 
     @Override
     public HttpReply answer(HttpCall call) throws HttpProblem {
         if (call.matches("GET", 2, "v1", "configuration")) {
-            return HttpReply.ok(cells.table().active());
+            return HttpReply.ok(schedulers.routingTable().activeConfiguration());
         }
         if (call.matches("GET", 2, "v1", "data-centres")) {
-            return HttpReply.ok(cellsView());
+            return HttpReply.ok(dataCentresView());
         }
         if (call.matches("GET", 2, "v1", "schedulers")) {
             return HttpReply.ok(schedulersView());
         }
         if (call.matches("GET", 3, "v1", "targets")) {
-            return targets(call.path().get(2));
+            return listTargets(call.path().get(2));
         }
-        return common.answer(call);
+        return commonService.answer(call);
     }
 
-    private CellsView cellsView() {
-        RoutingTable table = cells.table();
-        List<CellView> views = new ArrayList<>();
-        for (DataCentre dataCentre : table.active().configuration().dataCentres()) {
+    private DataCentresView dataCentresView() {
+        RoutingTable routingTable = schedulers.routingTable();
+        List<DataCentreView> views = new ArrayList<>();
+        for (DataCentre dataCentre :
+                routingTable.activeConfiguration().configuration().dataCentres()) {
             String name = dataCentre.name();
-            String leader = table.leaderOf(name).orElse("");
-            long epoch = leader.isEmpty() ? 0 : table.views().get(leader).view().epoch();
-            views.add(new CellView(name, table.active().inService(name), leader, epoch, table.waitingAt(name)));
+            String leader = routingTable.leaderOf(name).orElse("");
+            long epoch = leader.isEmpty()
+                    ? 0
+                    : routingTable.views().get(leader).view().epoch();
+            views.add(new DataCentreView(
+                    name,
+                    routingTable.activeConfiguration().inService(name),
+                    leader,
+                    epoch,
+                    routingTable.waitingRequests(name)));
         }
-        return new CellsView(table.active().revision(), views);
+        return new DataCentresView(routingTable.activeConfiguration().revision(), views);
     }
 
     private SchedulersView schedulersView() {
         List<SchedulerView> views = new ArrayList<>();
-        new TreeMap<>(cells.table().views()).forEach((address, seen) -> {
-            Message.View view = seen.view();
+        new TreeMap<>(schedulers.routingTable().views()).forEach((address, cachedView) -> {
+            Message.View view = cachedView.view();
             views.add(new SchedulerView(
-                    address, seen.valid(), view.dataCentre(), view.leads(), view.logAvailable(), view.revision()));
+                    address,
+                    cachedView.isFresh(),
+                    view.dataCentre(),
+                    view.leads(),
+                    view.logAvailable(),
+                    view.revision()));
         });
         return new SchedulersView(views);
     }
 
-    private HttpReply targets(String dataCentre) throws HttpProblem {
-        Message reply = router.askLeader(dataCentre, new Message.ListTargets(), System.nanoTime() + ASK_NANOS);
+    private HttpReply listTargets(String dataCentre) throws HttpProblem {
+        Message reply =
+                router.callLeader(dataCentre, new Message.ListTargets(), System.nanoTime() + QUERY_TIMEOUT_NANOS);
         return switch (reply) {
             case Message.Targets targets -> HttpReply.ok(targets);
-            case Message.Refused refused -> throw CallerService.problem(refused);
+            case Message.Refused refused -> throw CallerService.toHttpProblem(refused);
             default -> throw HttpProblem.notFound("no leader for " + dataCentre, "try again once one leads");
         };
     }
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/package-info.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The gateway program: callers' HTTP on every entry VM.
+ * The gateway program: the HTTP entry point for callers, and for operators, on each entry VM.
  *
- * <p>{@link org.acaciaport.gateway.CallerService} reads and answers HTTP requests,
- * {@link org.acaciaport.gateway.Router} picks the scheduler to ask, and {@link org.acaciaport.gateway.Cells} keeps what
- * is known of them.
+ * <p>{@link org.acaciaport.gateway.CallerService} and {@link org.acaciaport.gateway.ViewService} answer the HTTP
+ * requests of callers and operators. {@link org.acaciaport.gateway.Router} chooses the scheduler for each query, and
+ * {@link org.acaciaport.gateway.SchedulerClients} holds the connections to the schedulers and the newest view of each.
  */
 package org.acaciaport.gateway;
