--- a/acacia-standins/src/main/java/org/acaciaport/standins/Faults.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/Faults.java
@@ -4,9 +4,9 @@
 import org.acaciaport.http.HttpProblem;
 
 /**
- * Faults that a stand-in shows at present.
+ * The faults that a stand-in currently injects into its calls.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class Faults {
     private static final int UNAVAILABLE = 503;
@@ -14,11 +14,11 @@
     private final AtomicReference<Setting> setting = new AtomicReference<>(new Setting(false, 0, 0, false));
 
     /**
-     * What to do wrong.
+     * The faults to inject.
      *
-     * @param down whether to refuse every call without effect
-     * @param slowMillis how long to wait before every call
-     * @param loseAnswers how many further changes to make without confirming them
+     * @param down whether every call fails without effect
+     * @param slowMillis delay before every call, in milliseconds
+     * @param loseAnswers how many further changes take effect although the call reports an error
      * @param failAll whether every task fails
      */
     record Setting(boolean down, long slowMillis, int loseAnswers, boolean failAll) {}
@@ -27,16 +27,20 @@
         setting.set(next);
     }
 
-    boolean failsAll() {
+    boolean failsAllTasks() {
         return setting.get().failAll();
     }
 
-    /** Shows the faults that come before a call takes effect. */
-    void before() throws HttpProblem {
-        Setting now = setting.get();
-        if (now.slowMillis() > 0) {
+    /**
+     * Injects the faults due before a call takes effect.
+     *
+     * @throws HttpProblem if the call must fail without effect
+     */
+    void injectBeforeEffect() throws HttpProblem {
+        Setting current = setting.get();
+        if (current.slowMillis() > 0) {
             try {
-                Thread.sleep(now.slowMillis());
+                Thread.sleep(current.slowMillis());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -46,11 +50,15 @@
         }
     }
 
-    /** Shows the faults that come after a call took effect. */
-    void after() throws HttpProblem {
-        Setting before = setting.getAndUpdate(
+    /**
+     * Injects the faults due after a call took effect.
+     *
+     * @throws HttpProblem if the caller must not learn of the effect
+     */
+    void injectAfterEffect() throws HttpProblem {
+        Setting previous = setting.getAndUpdate(
                 s -> s.loseAnswers() > 0 ? new Setting(s.down(), s.slowMillis(), s.loseAnswers() - 1, s.failAll()) : s);
-        if (before.loseAnswers() > 0) {
+        if (previous.loseAnswers() > 0) {
             throw new HttpProblem(UNAVAILABLE, "lost", "the answer was lost after the effect", "ask what happened");
         }
     }
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinPlatform.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinPlatform.java
@@ -13,29 +13,39 @@
 import org.acaciaport.wire.Codecs;
 
 /**
- * A stand-in for the platform: an append-only log and a list of leaving VMs, in memory.
+ * An in-memory stand-in for the platform: an append-only log and a list of the VMs that are about to leave.
  *
- * <p>Safe for use by several threads. Offsets have no gaps; records are kept as they came.
+ * <p>Offsets have no gaps. Records are stored as received, without validation or deduplication.
+ *
+ * <p>Thread-safe.
  */
 final class StandinPlatform implements HttpService {
     private final Faults faults = new Faults();
     private final List<JsonNode> entries = new ArrayList<>();
-    private final Set<String> leaving = new TreeSet<>();
-    private long first;
+    private final Set<String> leavingVms = new TreeSet<>();
+
+    /** Offset of the oldest entry that has not expired. */
+    private long firstOffset;
 
-    /** Where an append begins. */
+    /** The answer to an append: the offset of its first record. */
     record Appended(long offset) {}
 
-    /** What was read. */
+    /**
+     * The answer to a read.
+     *
+     * @param entries the entries, in order of offset
+     * @param first lowest offset that the log still keeps
+     * @param end offset after the newest entry
+     */
     record Entries(List<JsonNode> entries, long first, long end) {}
 
-    /** One VM on the list. */
+    /** One VM and its state, which is always {@code leaving}. */
     record Vm(String id, String state) {}
 
-    /** The list. */
+    /** The VMs that are about to leave. */
     record Vms(List<Vm> vms) {}
 
-    /** What an administrative call answers. */
+    /** The answer to a call that controls the stand-in. */
     record Ok(boolean ok) {}
 
     @Override
@@ -45,18 +55,18 @@
             return HttpReply.ok(new Ok(true));
         }
         if (call.matches("PUT", 2, "leaving")) {
-            return mark(call.path().get(1), true);
+            return setLeaving(call.path().get(1), true);
         }
         if (call.matches("DELETE", 2, "leaving")) {
-            return mark(call.path().get(1), false);
+            return setLeaving(call.path().get(1), false);
         }
         if (call.matches("POST", 2, "log", "expire")) {
             return expire(call.number("before", 0, Long.MAX_VALUE));
         }
-        faults.before();
+        faults.injectBeforeEffect();
         if (call.matches("POST", 2, "log", "append")) {
             long offset = append(call.read(JsonNode.class));
-            faults.after();
+            faults.injectAfterEffect();
             return HttpReply.ok(new Appended(offset));
         }
         if (call.matches("GET", 2, "log", "read")) {
@@ -69,12 +79,12 @@
     }
 
     private synchronized long append(JsonNode body) {
-        long offset = first + entries.size();
+        long offset = firstOffset + entries.size();
         long sequence = body.get("sequence").asLong();
         for (JsonNode record : body.get("records")) {
             entries.add(Codecs.json()
                     .createObjectNode()
-                    .put("offset", first + entries.size())
+                    .put("offset", firstOffset + entries.size())
                     .put("writer", body.get("writer").asText())
                     .put("sequence", sequence++)
                     .set("record", record));
@@ -85,44 +95,45 @@
 
     private synchronized Entries read(HttpCall call) throws HttpProblem {
         long from = call.number("from", 0, Long.MAX_VALUE);
-        int most = (int) call.number("most", 1_000, 10_000);
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(call.number("wait", 0, 60_000));
-        while (first + entries.size() <= from) {
-            long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
-            if (left <= 0) {
+        int limit = (int) call.number("most", 1_000, 10_000);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(call.number("wait", 0, 60_000));
+        while (firstOffset + entries.size() <= from) {
+            long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+            if (remainingMillis <= 0) {
                 break;
             }
             try {
-                wait(left);
+                wait(remainingMillis);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 break;
             }
         }
         int size = entries.size();
-        int begin = (int) Math.min(size, Math.max(0, from - first));
-        int end = Math.min(size, begin + most);
-        return new Entries(List.copyOf(entries.subList(begin, end)), first, first + size);
+        int begin = (int) Math.min(size, Math.max(0, from - firstOffset));
+        int end = Math.min(size, begin + limit);
+        return new Entries(List.copyOf(entries.subList(begin, end)), firstOffset, firstOffset + size);
     }
 
-    private synchronized HttpReply expire(long before) {
-        while (first < before && !entries.isEmpty()) {
+    /** Discards the entries at offsets below {@code endOffset}. */
+    private synchronized HttpReply expire(long endOffset) {
+        while (firstOffset < endOffset && !entries.isEmpty()) {
             entries.removeFirst();
-            first++;
+            firstOffset++;
         }
         return HttpReply.ok(new Ok(true));
     }
 
-    private synchronized HttpReply mark(String vm, boolean leaves) {
-        if (leaves) {
-            leaving.add(vm);
+    private synchronized HttpReply setLeaving(String vm, boolean leaving) {
+        if (leaving) {
+            leavingVms.add(vm);
         } else {
-            leaving.remove(vm);
+            leavingVms.remove(vm);
         }
         return HttpReply.ok(new Ok(true));
     }
 
     private synchronized Vms vms() {
-        return new Vms(leaving.stream().map(id -> new Vm(id, "leaving")).toList());
+        return new Vms(leavingVms.stream().map(id -> new Vm(id, "leaving")).toList());
     }
 }
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinTarget.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinTarget.java
@@ -16,10 +16,16 @@
 import org.acaciaport.platform.TargetClient;
 
 /**
- * A stand-in for one target. A payload may hold {@code run-millis=N} and {@code fail}.
+ * A stand-in for one target.
  *
- * <p>Safe for use by several threads. Refuses older epochs, passed deadlines, other incarnations and work beyond its
- * accelerators; ends all work when its lease lapses.
+ * <p>The operations follow the contract of {@link TargetClient}. No work is run: a task ends after the time that its
+ * payload names as {@code run-millis=N}, or after {@value #DEFAULT_RUN_MILLIS} ms, and fails if the payload contains
+ * {@code fail}.
+ *
+ * <p>Rejects calls with a stale epoch, with another incarnation, after the start deadline, or for more accelerators
+ * than are free. Stops all tasks when its lease expires.
+ *
+ * <p>Thread-safe.
  */
 final class StandinTarget {
     private static final Pattern RUN_MILLIS = Pattern.compile("run-millis=([0-9]+)");
@@ -33,12 +39,17 @@
     private final String incarnation = UUID.randomUUID().toString();
     private final ScheduledExecutorService timer;
     private final Faults faults = new Faults();
-    private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private final Map<String, Hold> holds = new HashMap<>();
+    private final Map<String, VersionedTask> tasks = new LinkedHashMap<>();
+    private final Map<String, Reservation> reservations = new HashMap<>();
     private final List<StartRecord> starts = new ArrayList<>();
+
+    /** Highest epoch that any caller has used. */
     private long epoch;
+
+    /** Version of the newest change to a task. */
     private long version = 1;
-    private long leaseUntil = Long.MAX_VALUE;
+
+    private long leaseExpiresAtMillis = Long.MAX_VALUE;
 
     StandinTarget(int accelerators, ScheduledExecutorService timer) {
         this.accelerators = accelerators;
@@ -46,21 +57,21 @@
     }
 
     /**
-     * One start, for the target's own record.
+     * One start of a task, recorded so that tests can count starts.
      *
      * @param request identifier of the request
-     * @param profile its profile
+     * @param profile name of the request's profile
      * @param attempt number of the attempt
      * @param member index of the member
-     * @param at when, in milliseconds of the wall clock
+     * @param at time of the start on the wall clock, in milliseconds since the Unix epoch
      */
     record StartRecord(String request, String profile, long attempt, int member, long at) {}
 
-    /** Places held until a deadline. */
-    private record Hold(int units, long until) {}
+    /** A number of accelerators reserved until a deadline. */
+    private record Reservation(int units, long expiresAtMillis) {}
 
     /** A task and the version at which it last changed. */
-    private record Task(TargetClient.Task report, long version) {}
+    private record VersionedTask(TargetClient.Task task, long version) {}
 
     Faults faults() {
         return faults;
@@ -71,163 +82,174 @@
     }
 
     synchronized TargetClient.Report poll(HttpTargets.Poll poll) throws HttpProblem {
-        rule(poll.epoch());
-        long leaseStart = now();
-        leaseUntil = leaseStart + poll.leaseMillis();
-        long deadline = leaseStart + poll.waitMillis();
-        while (version <= poll.since() && now() < deadline) {
+        admitEpoch(poll.epoch());
+        long polledAtMillis = nowMillis();
+        leaseExpiresAtMillis = polledAtMillis + poll.leaseMillis();
+        long waitDeadlineMillis = polledAtMillis + poll.waitMillis();
+        while (version <= poll.since() && nowMillis() < waitDeadlineMillis) {
             try {
-                wait(Math.max(1, deadline - now()));
+                wait(Math.max(1, waitDeadlineMillis - nowMillis()));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 break;
             }
         }
-        rule(poll.epoch());
+        admitEpoch(poll.epoch());
         List<TargetClient.Task> changed = new ArrayList<>();
-        for (Task task : tasks.values()) {
-            if (task.version() > poll.since()) {
-                changed.add(task.report());
+        for (VersionedTask versionedTask : tasks.values()) {
+            if (versionedTask.version() > poll.since()) {
+                changed.add(versionedTask.task());
             }
         }
-        return new TargetClient.Report(incarnation, now(), version, changed);
+        return new TargetClient.Report(incarnation, nowMillis(), version, changed);
     }
 
     synchronized void reserve(HttpTargets.Reserve reserve) throws HttpProblem {
         TargetClient.Place place = reserve.place();
-        rule(place.epoch());
-        holds.values().removeIf(hold -> hold.until() < now());
-        if (tasks.containsKey(key(place))) {
+        admitEpoch(place.epoch());
+        reservations.values().removeIf(reservation -> reservation.expiresAtMillis() < nowMillis());
+        // The task was started already, or a release left it as not-started so that a late reservation fails.
+        if (tasks.containsKey(taskKey(place))) {
             throw conflict("the place was given up");
         }
-        if (!holds.containsKey(key(place)) && inUse() + place.units() > accelerators) {
+        if (!reservations.containsKey(taskKey(place)) && acceleratorsInUse() + place.units() > accelerators) {
             throw conflict("accelerators are in use");
         }
-        holds.put(key(place), new Hold(place.units(), now() + reserve.holdMillis()));
+        reservations.put(taskKey(place), new Reservation(place.units(), nowMillis() + reserve.holdMillis()));
     }
 
     synchronized void release(TargetClient.Place place) throws HttpProblem {
-        rule(place.epoch());
-        holds.remove(key(place));
-        if (!tasks.containsKey(key(place))) {
-            put(place, "not-started", "");
+        admitEpoch(place.epoch());
+        reservations.remove(taskKey(place));
+        if (!tasks.containsKey(taskKey(place))) {
+            setState(place, "not-started", "");
         }
     }
 
     synchronized void start(HttpTargets.Start start) throws HttpProblem {
         TargetClient.Place place = start.place();
-        rule(place.epoch());
+        admitEpoch(place.epoch());
         if (!start.incarnation().equals(incarnation)) {
             throw conflict("the target was restarted");
         }
-        if (is(place, "not-started")) {
+        if (hasState(place, "not-started")) {
             throw conflict("the task was stopped before its start");
         }
-        if (tasks.containsKey(key(place))) {
+        // Starting the same task again has no further effect.
+        if (tasks.containsKey(taskKey(place))) {
             return;
         }
-        if (now() >= start.startBefore()) {
+        if (nowMillis() >= start.startBefore()) {
             throw new HttpProblem(PRECONDITION_FAILED, "expired", "the start deadline has passed", "place it again");
         }
-        Hold hold = holds.remove(key(place));
-        if (hold == null && inUse() + place.units() > accelerators) {
+        Reservation reservation = reservations.remove(taskKey(place));
+        if (reservation == null && acceleratorsInUse() + place.units() > accelerators) {
             throw conflict("accelerators are in use");
         }
-        starts.add(new StartRecord(place.request(), start.work().profile(), place.attempt(), place.member(), now()));
-        put(place, "running", "");
-        run(place, start.work().payload());
+        starts.add(
+                new StartRecord(place.request(), start.work().profile(), place.attempt(), place.member(), nowMillis()));
+        setState(place, "running", "");
+        scheduleEnd(place, start.work().payload());
     }
 
-    private void run(TargetClient.Place place, String payload) {
+    /** Schedules the end of a running task. */
+    private void scheduleEnd(TargetClient.Place place, String payload) {
         Matcher matcher = RUN_MILLIS.matcher(payload);
         long millis = matcher.find() ? Long.parseLong(matcher.group(1)) : DEFAULT_RUN_MILLIS;
-        boolean fails = faults.failsAll() || payload.contains("fail");
+        boolean fails = faults.failsAllTasks() || payload.contains("fail");
         timer.schedule(
-                () -> end(place, "running", fails ? "failed" : "ended", fails ? "task failed" : "output of " + payload),
+                () -> transition(
+                        place, "running", fails ? "failed" : "ended", fails ? "task failed" : "output of " + payload),
                 millis,
                 TimeUnit.MILLISECONDS);
     }
 
     synchronized void treat(HttpTargets.Treat treat) throws HttpProblem {
-        rule(treat.place().epoch());
+        admitEpoch(treat.place().epoch());
         if (!treat.incarnation().equals(incarnation)) {
             throw conflict("the target was restarted");
         }
-        if (!tasks.containsKey(key(treat.place()))) {
-            holds.remove(key(treat.place()));
-            put(treat.place(), "not-started", "");
+        if (!tasks.containsKey(taskKey(treat.place()))) {
+            // Recorded so that a start that arrives late is rejected.
+            reservations.remove(taskKey(treat.place()));
+            setState(treat.place(), "not-started", "");
             return;
         }
-        String state =
+        String next =
                 switch (treat.treatment()) {
                     case CHECKPOINT -> "checkpointed";
                     case THROTTLE -> "throttled";
                     case STOP -> "stopped";
                 };
-        String from = treat.treatment() == Treatment.STOP && is(treat.place(), "throttled") ? "throttled" : "running";
-        timer.schedule(() -> end(treat.place(), from, state, ""), TREATMENT_MILLIS, TimeUnit.MILLISECONDS);
+        String expected =
+                treat.treatment() == Treatment.STOP && hasState(treat.place(), "throttled") ? "throttled" : "running";
+        timer.schedule(() -> transition(treat.place(), expected, next, ""), TREATMENT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     synchronized void resume(TargetClient.Place place) throws HttpProblem {
-        rule(place.epoch());
-        if (is(place, "throttled")) {
-            put(place, "running", "");
-            run(place, "");
+        admitEpoch(place.epoch());
+        if (hasState(place, "throttled")) {
+            setState(place, "running", "");
+            scheduleEnd(place, "");
         }
     }
 
-    /** Ends everything if the lease has lapsed. */
-    synchronized void checkLease() {
-        if (now() <= leaseUntil) {
+    /** Drops all reservations and stops all tasks if the lease has expired. */
+    synchronized void enforceLease() {
+        if (nowMillis() <= leaseExpiresAtMillis) {
             return;
         }
-        leaseUntil = Long.MAX_VALUE;
-        holds.clear();
-        for (Task task : List.copyOf(tasks.values())) {
-            if (task.report().state().equals("running") || task.report().state().equals("throttled")) {
-                TargetClient.Task report = task.report();
-                put(
-                        new TargetClient.Place(
-                                epoch, report.request(), report.attempt(), report.member(), report.units()),
+        leaseExpiresAtMillis = Long.MAX_VALUE;
+        reservations.clear();
+        for (VersionedTask versionedTask : List.copyOf(tasks.values())) {
+            if (versionedTask.task().state().equals("running")
+                    || versionedTask.task().state().equals("throttled")) {
+                TargetClient.Task task = versionedTask.task();
+                setState(
+                        new TargetClient.Place(epoch, task.request(), task.attempt(), task.member(), task.units()),
                         "stopped",
                         "");
             }
         }
     }
 
-    private synchronized void end(TargetClient.Place place, String from, String state, String output) {
-        if (is(place, from)) {
-            put(place, state, output);
+    /** Changes the state from {@code expected} to {@code next}, or does nothing if the task is in another state. */
+    private synchronized void transition(TargetClient.Place place, String expected, String next, String output) {
+        if (hasState(place, expected)) {
+            setState(place, next, output);
         }
     }
 
-    private boolean is(TargetClient.Place place, String state) {
-        Task task = tasks.get(key(place));
-        return task != null && task.report().state().equals(state);
+    private boolean hasState(TargetClient.Place place, String state) {
+        VersionedTask versionedTask = tasks.get(taskKey(place));
+        return versionedTask != null && versionedTask.task().state().equals(state);
     }
 
-    private void put(TargetClient.Place place, String state, String output) {
+    private void setState(TargetClient.Place place, String state, String output) {
         version++;
-        TargetClient.Task report =
+        TargetClient.Task task =
                 new TargetClient.Task(place.request(), place.attempt(), place.member(), place.units(), state, output);
-        tasks.put(key(place), new Task(report, version));
+        tasks.put(taskKey(place), new VersionedTask(task, version));
         notifyAll();
     }
 
-    private void rule(long caller) throws HttpProblem {
-        if (caller < epoch) {
+    /** Rejects a caller whose epoch is stale. A newer epoch is adopted and voids all reservations. */
+    private void admitEpoch(long callerEpoch) throws HttpProblem {
+        if (callerEpoch < epoch) {
             throw new HttpProblem(GONE, "stale-epoch", "epoch " + epoch + " rules here", "stop leading");
         }
-        if (caller > epoch) {
-            epoch = caller;
-            holds.clear();
+        if (callerEpoch > epoch) {
+            epoch = callerEpoch;
+            reservations.clear();
         }
     }
 
-    private int inUse() {
-        int units = holds.values().stream().mapToInt(Hold::units).sum();
-        for (Task task : tasks.values()) {
-            units += task.report().state().equals("running") ? task.report().units() : 0;
+    private int acceleratorsInUse() {
+        int units = reservations.values().stream().mapToInt(Reservation::units).sum();
+        for (VersionedTask versionedTask : tasks.values()) {
+            units += versionedTask.task().state().equals("running")
+                    ? versionedTask.task().units()
+                    : 0;
         }
         return units;
     }
@@ -236,11 +258,11 @@
         return new HttpProblem(CONFLICT, "refused", reason, "place it elsewhere");
     }
 
-    private static String key(TargetClient.Place place) {
+    private static String taskKey(TargetClient.Place place) {
         return place.request() + "/" + place.attempt() + "/" + place.member();
     }
 
-    private static long now() {
+    private static long nowMillis() {
         return System.currentTimeMillis();
     }
 }
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinTargets.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinTargets.java
@@ -15,33 +15,33 @@
 import org.acaciaport.platform.TargetClient;
 
 /**
- * Stand-ins for many targets behind one address, each under {@code /targets/ID}.
+ * The HTTP interface of a set of stand-in targets, each under {@code /targets/ID}.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class StandinTargets implements HttpService {
-    private static final int THREADS = 2;
-    private static final long LEASE_CHECK_MILLIS = 100;
+    private static final int TIMER_THREADS = 2;
+    private static final long LEASE_CHECK_INTERVAL_MILLIS = 100;
 
     private final Map<String, StandinTarget> targets = new TreeMap<>();
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(
-            THREADS, Thread.ofPlatform().name("tasks-", 0).daemon().factory());
+            TIMER_THREADS, Thread.ofPlatform().name("target-timer-", 0).daemon().factory());
 
     StandinTargets(List<String> ids, int accelerators) {
         for (String id : ids) {
             targets.put(id, new StandinTarget(accelerators, timer));
         }
         timer.scheduleAtFixedRate(
-                () -> targets.values().forEach(StandinTarget::checkLease),
-                LEASE_CHECK_MILLIS,
-                LEASE_CHECK_MILLIS,
+                () -> targets.values().forEach(StandinTarget::enforceLease),
+                LEASE_CHECK_INTERVAL_MILLIS,
+                LEASE_CHECK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** All starts at all targets. */
+    /** The starts at all targets, ordered by target. */
     record Starts(List<Started> starts) {}
 
-    /** One start and where. */
+    /** One start and the identifier of the target where it happened. */
     record Started(String target, StandinTarget.StartRecord start) {}
 
     @Override
@@ -56,19 +56,19 @@
         if (target == null) {
             throw HttpProblem.notFound("no such target", "name one given at the start");
         }
-        return answer(target, call.path().get(2), call);
+        return answerTargetCall(target, call.path().get(2), call);
     }
 
-    private HttpReply answer(StandinTarget target, String name, HttpCall call) throws HttpProblem {
-        if (name.equals("faults")) {
+    private HttpReply answerTargetCall(StandinTarget target, String operation, HttpCall call) throws HttpProblem {
+        if (operation.equals("faults")) {
             target.faults().set(call.read(Faults.Setting.class));
             return done();
         }
-        target.faults().before();
-        if (name.equals("poll")) {
+        target.faults().injectBeforeEffect();
+        if (operation.equals("poll")) {
             return HttpReply.ok(target.poll(call.read(HttpTargets.Poll.class)));
         }
-        switch (name) {
+        switch (operation) {
             case "reserve" -> target.reserve(call.read(HttpTargets.Reserve.class));
             case "release" -> target.release(call.read(TargetClient.Place.class));
             case "start" -> target.start(call.read(HttpTargets.Start.class));
@@ -76,14 +76,14 @@
             case "resume" -> target.resume(call.read(TargetClient.Place.class));
             default -> throw HttpProblem.notFound("no such call", "see the target's interface");
         }
-        target.faults().after();
+        target.faults().injectAfterEffect();
         return done();
     }
 
     private Starts starts() {
-        List<Started> all = new ArrayList<>();
-        targets.forEach((id, target) -> target.starts().forEach(start -> all.add(new Started(id, start))));
-        return new Starts(all);
+        List<Started> starts = new ArrayList<>();
+        targets.forEach((id, target) -> target.starts().forEach(start -> starts.add(new Started(id, start))));
+        return new Starts(starts);
     }
 
     private static HttpReply done() {
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinsMain.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinsMain.java
@@ -16,22 +16,22 @@
 import org.acaciaport.program.Logs;
 import org.acaciaport.program.SettingsCheck;
 
-/** The {@code acacia-standins} program: a platform or a set of targets, for tests and the demo. */
+/** The entry point of the {@code acacia-standins} program, which serves a stand-in platform or stand-in targets. */
 public final class StandinsMain {
     private StandinsMain() {}
 
-    /** Runs the program. */
+    /** Serves until the process is killed; exits with an error code if it cannot start. */
     public static void main(String[] arguments) throws InterruptedException {
         Logs.configure(new LogSettings("text", "warn"));
         ArgumentParser parser = ArgumentParsers.newFor("acacia-standins")
                 .build()
-                .description("Takes the place of the platform, or of targets when --target is given.");
+                .description("Simulates the platform, or targets if --target is given.");
         parser.addArgument("--listen").required(true).metavar("IP:PORT");
         parser.addArgument("--target").action(Arguments.append()).metavar("ID");
         parser.addArgument("--accelerators").type(Integer.class).setDefault(8);
         try {
             Namespace parsed = parser.parseArgs(arguments);
-            JsonServer.start(SettingsCheck.parse(parsed.getString("listen")), service(parsed));
+            JsonServer.start(SettingsCheck.parse(parsed.getString("listen")), createService(parsed));
         } catch (HelpScreenException e) {
             System.exit(ExitCode.OK.code());
         } catch (ArgumentParserException e) {
@@ -44,8 +44,8 @@
         new CountDownLatch(1).await();
     }
 
-    private static HttpService service(Namespace parsed) {
-        List<String> ids = parsed.getList("target");
-        return ids == null ? new StandinPlatform() : new StandinTargets(ids, parsed.getInt("accelerators"));
+    private static HttpService createService(Namespace parsed) {
+        List<String> targetIds = parsed.getList("target");
+        return targetIds == null ? new StandinPlatform() : new StandinTargets(targetIds, parsed.getInt("accelerators"));
     }
 }
--- a/acacia-standins/src/main/java/org/acaciaport/standins/package-info.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Small programs that take the place of the platform and the targets in tests and the demo, with faults on demand.
+ * In-memory replacements of the platform and of targets, with fault injection, for tests and the demo.
  *
  * <p>Not part of a deployment.
  */
