--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/Commands.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/Commands.java
@@ -17,17 +17,17 @@
 import org.acaciaport.wire.Codecs;
 
 /**
- * Carries out the commands.
+ * Executes the commands that need the gateways or the platform.
  *
  * <p>Not thread-safe.
  */
 final class Commands {
     private final CtlSettings settings;
-    private final Gateways gateways;
+    private final GatewayClient gateways;
     private final Publisher publisher;
     private final Output out;
 
-    Commands(CtlSettings settings, Gateways gateways, Publisher publisher, Output out) {
+    Commands(CtlSettings settings, GatewayClient gateways, Publisher publisher, Output out) {
         this.settings = settings;
         this.gateways = gateways;
         this.publisher = publisher;
@@ -35,37 +35,47 @@
     }
 
     /**
-     * Body of a submission.
+     * The body of a submission.
      *
-     * @param account client account
-     * @param profile profile
+     * @param account name of the client account
+     * @param profile name of the profile
      * @param key idempotency key
      * @param payload opaque input
      */
     private record Submission(String account, String profile, String key, String payload) {}
 
-    /** What a publication answers. */
+    /**
+     * The result of a publication, as printed.
+     *
+     * @param revision the new revision
+     * @param state a phrase that says where the revision is in force
+     */
     private record Published(long revision, String state) {}
 
-    ExitCode run(Namespace parsed) throws CtlException {
-        return switch (parsed.getString("command")) {
-            case "config publish" -> publishConfiguration(parsed.getString("file"), parsed.getLong("base"));
+    /** Executes the command in {@code arguments} and returns the exit code. */
+    ExitCode execute(Namespace arguments) throws CtlException {
+        return switch (arguments.getString("command")) {
+            case "config publish" -> publishConfiguration(arguments.getString("file"), arguments.getLong("base"));
             case "config show" -> showConfiguration();
             case "profile list" -> listProfiles();
-            case "profile show" -> showProfile(parsed.getString("name"));
+            case "profile show" -> showProfile(arguments.getString("name"));
             case "dc list" -> listDataCentres();
-            case "dc out" -> changeService(parsed.getString("name"), true);
-            case "dc in" -> changeService(parsed.getString("name"), false);
-            case "submit" -> submit(parsed);
-            case "status" -> status(parsed.getString("request"), parsed.getLong("wait"));
-            case "cancel" -> cancel(parsed.getString("request"));
-            case "explain" -> explain(parsed.getString("request"));
-            case "targets" -> targets(parsed.getString("data_centre"));
+            case "dc out" -> changeService(arguments.getString("name"), true);
+            case "dc in" -> changeService(arguments.getString("name"), false);
+            case "submit" -> submit(arguments);
+            case "status" -> showStatus(arguments.getString("request"), arguments.getLong("wait"));
+            case "cancel" -> cancel(arguments.getString("request"));
+            case "explain" -> explain(arguments.getString("request"));
+            case "targets" -> listTargets(arguments.getString("data_centre"));
             default -> throw new CtlException(ExitCode.USAGE, "unknown command; see 'acaciactl --help'");
         };
     }
 
-    /** Reads and checks a configuration file. */
+    /**
+     * Reads and validates a configuration file.
+     *
+     * @throws CtlException if the file cannot be read or the configuration is invalid
+     */
     static Configuration readConfiguration(String file) throws CtlException {
         try {
             Configuration configuration = Settings.read(Path.of(file), Configuration.class);
@@ -80,8 +90,8 @@
 
     private ExitCode publishConfiguration(String file, Long base) throws CtlException {
         Configuration configuration = readConfiguration(file);
-        long replaced = base == null ? publisher.read().active().revision() : base;
-        return publish(new LogRecord.Published(replaced, configuration, settings.operator()));
+        long baseRevision = base == null ? publisher.readDirectory().active().revision() : base;
+        return publish(new LogRecord.Published(baseRevision, configuration, settings.operator()));
     }
 
     private ExitCode changeService(String dataCentre, boolean outOfService) throws CtlException {
@@ -90,18 +100,20 @@
 
     private ExitCode publish(LogRecord record) throws CtlException {
         long revision = publisher.publish(record);
-        String state = publisher.awaitInForce(revision);
-        out.line("revision " + revision + " " + state, new Published(revision, state));
+        String state = publisher.awaitActivation(revision);
+        out.print("revision " + revision + " " + state, new Published(revision, state));
         return ExitCode.OK;
     }
 
     private ExitCode showConfiguration() throws CtlException {
-        ActiveConfiguration active = publisher.read().active();
-        out.line("revision " + active.revision() + ", out of service: " + active.out() + "\n" + pretty(active), active);
+        ActiveConfiguration active = publisher.readDirectory().active();
+        out.print(
+                "revision " + active.revision() + ", out of service: " + active.out() + "\n" + toPrettyJson(active),
+                active);
         return ExitCode.OK;
     }
 
-    private static String pretty(Object value) throws CtlException {
+    private static String toPrettyJson(Object value) throws CtlException {
         try {
             return Codecs.json().writerWithDefaultPrettyPrinter().writeValueAsString(value);
         } catch (JsonProcessingException e) {
@@ -110,9 +122,9 @@
     }
 
     private ExitCode listProfiles() throws CtlException {
-        JsonNode active = gateways.operators("/v1/configuration");
-        JsonNode profiles = active.at("/configuration/profiles");
-        out.table(
+        JsonNode configuration = gateways.getFromOperatorApi("/v1/configuration");
+        JsonNode profiles = configuration.at("/configuration/profiles");
+        out.printTable(
                 profiles,
                 profiles,
                 "name",
@@ -128,39 +140,41 @@
 
     private ExitCode showProfile(String name) throws CtlException {
         Profile profile = publisher
-                .read()
+                .readDirectory()
                 .active()
                 .configuration()
                 .profile(name)
                 .orElseThrow(() -> new CtlException(
                         ExitCode.NEGATIVE, "no profile '" + name + "'; 'acaciactl profile list' shows them"));
-        out.line(pretty(profile), profile);
+        out.print(toPrettyJson(profile), profile);
         return ExitCode.OK;
     }
 
     private ExitCode listDataCentres() throws CtlException {
-        JsonNode view = gateways.operators("/v1/data-centres");
-        out.table(view, view.get("data-centres"), "name", "in-service", "leader", "epoch", "waiting");
+        JsonNode dataCentres = gateways.getFromOperatorApi("/v1/data-centres");
+        out.printTable(
+                dataCentres, dataCentres.get("data-centres"), "name", "in-service", "leader", "epoch", "waiting");
         return ExitCode.OK;
     }
 
-    private ExitCode submit(Namespace parsed) throws CtlException {
-        String key = parsed.getString("key") == null ? UUID.randomUUID().toString() : parsed.getString("key");
+    private ExitCode submit(Namespace arguments) throws CtlException {
+        String key = arguments.getString("key") == null ? UUID.randomUUID().toString() : arguments.getString("key");
         Submission submission = new Submission(
-                parsed.getString("account"), parsed.getString("profile"), key, parsed.getString("payload"));
-        long wait = parsed.getLong("wait");
-        return show(gateways.callers("POST", "/v1/requests?wait=" + wait, submission, wait));
+                arguments.getString("account"), arguments.getString("profile"), key, arguments.getString("payload"));
+        long waitMillis = arguments.getLong("wait");
+        return printStatus(gateways.callCallerApi("POST", "/v1/requests?wait=" + waitMillis, submission, waitMillis));
     }
 
-    private ExitCode status(String request, long wait) throws CtlException {
-        return show(gateways.callers("GET", "/v1/requests/" + request + "?wait=" + wait, null, wait));
+    private ExitCode showStatus(String requestId, long waitMillis) throws CtlException {
+        return printStatus(
+                gateways.callCallerApi("GET", "/v1/requests/" + requestId + "?wait=" + waitMillis, null, waitMillis));
     }
 
-    private ExitCode cancel(String request) throws CtlException {
-        return show(gateways.callers("DELETE", "/v1/requests/" + request, null, 0));
+    private ExitCode cancel(String requestId) throws CtlException {
+        return printStatus(gateways.callCallerApi("DELETE", "/v1/requests/" + requestId, null, 0));
     }
 
-    private ExitCode show(JsonNode status) throws CtlException {
+    private ExitCode printStatus(JsonNode status) throws CtlException {
         JsonNode outcome = status.path("outcome");
         StringBuilder text = new StringBuilder(status.path("request").asText())
                 .append(" key=")
@@ -178,26 +192,27 @@
                     .append(": ")
                     .append(answer.get("output").asText());
         }
-        out.line(text.toString(), status);
+        out.print(text.toString(), status);
         String state = status.path("state").asText();
-        boolean good = outcome.isMissingNode() || outcome.isNull() || state.equals("done");
-        return good ? ExitCode.OK : ExitCode.NEGATIVE;
+        boolean pendingOrDone = outcome.isMissingNode() || outcome.isNull() || state.equals("done");
+        return pendingOrDone ? ExitCode.OK : ExitCode.NEGATIVE;
     }
 
-    private ExitCode explain(String request) throws CtlException {
-        JsonNode explanation = gateways.callers("GET", "/v1/requests/" + request + "/explain", null, 0);
+    private ExitCode explain(String requestId) throws CtlException {
+        JsonNode explanation = gateways.callCallerApi("GET", "/v1/requests/" + requestId + "/explain", null, 0);
         StringBuilder text = new StringBuilder();
         for (JsonNode line : explanation.get("lines")) {
             text.append(line.asText()).append('\n');
         }
-        out.line(
+        out.print(
                 text.isEmpty() ? "no decisions are remembered" : text.toString().stripTrailing(), explanation);
         return ExitCode.OK;
     }
 
-    private ExitCode targets(String dataCentre) throws CtlException {
-        JsonNode targets = gateways.operators("/v1/targets/" + dataCentre);
-        out.table(targets, targets.get("lines"), "target", "rack", "state", "accelerators", "used", "claimed", "tasks");
+    private ExitCode listTargets(String dataCentre) throws CtlException {
+        JsonNode targets = gateways.getFromOperatorApi("/v1/targets/" + dataCentre);
+        out.printTable(
+                targets, targets.get("lines"), "target", "rack", "state", "accelerators", "used", "claimed", "tasks");
         return ExitCode.OK;
     }
 }
--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/CtlException.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/CtlException.java
@@ -2,18 +2,18 @@
 
 import org.acaciaport.program.ExitCode;
 
-/** Thrown when a command cannot give what was asked for; the message names the remedy. */
+/** Thrown when a command fails; the message is printed to the user and names the remedy. */
 final class CtlException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final ExitCode code;
+    private final ExitCode exitCode;
 
-    CtlException(ExitCode code, String message) {
+    CtlException(ExitCode exitCode, String message) {
         super(message);
-        this.code = code;
+        this.exitCode = exitCode;
     }
 
-    ExitCode code() {
-        return code;
+    ExitCode exitCode() {
+        return exitCode;
     }
 }
--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/CtlSettings.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/CtlSettings.java
@@ -5,18 +5,18 @@
 import org.acaciaport.program.SettingsCheck;
 
 /**
- * Settings of {@code acaciactl}.
+ * The settings of {@code acaciactl}.
  *
  * <p>Immutable.
  *
- * @param operator name that published changes carry
- * @param callers base URIs of the gateways' callers' interface; tried in order
- * @param operators base URIs of the gateways' operators' interface; tried in order
+ * @param operator name of the operator, recorded with each published change
+ * @param callers base URIs of the gateways' HTTP interface for callers; tried in order
+ * @param operators base URIs of the gateways' HTTP interface for operators; tried in order
  * @param platform base URI of the platform's log
  */
 public record CtlSettings(String operator, List<String> callers, List<String> operators, String platform)
         implements Settings.Checked {
-    /** Copies the lists. */
+    /** Creates settings with immutable copies of the lists. */
     public CtlSettings {
         callers = List.copyOf(callers);
         operators = List.copyOf(operators);
--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/Output.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/Output.java
@@ -9,7 +9,7 @@
 import org.acaciaport.wire.Codecs;
 
 /**
- * Prints answers as tables or as JSON.
+ * Prints results as text or, if the user asked for it, as JSON.
  *
  * <p>Not thread-safe.
  */
@@ -22,35 +22,39 @@
         this.json = json;
     }
 
-    /** Prints {@code text}, or {@code value} if JSON was asked for. */
-    void line(String text, Object value) throws CtlException {
+    /** Prints {@code text}, or {@code value} as JSON. */
+    void print(String text, Object value) throws CtlException {
         if (json) {
-            json(value);
+            printJson(value);
         } else {
             out.println(text);
         }
     }
 
-    /** Prints the fields {@code columns} of each of {@code rows}, or {@code whole} if JSON was asked for. */
-    void table(JsonNode whole, JsonNode rows, String... columns) throws CtlException {
+    /**
+     * Prints a table of {@code rows}, or {@code document} as JSON.
+     *
+     * @param columns names of the fields to print; a dot separates the names of nested fields
+     */
+    void printTable(JsonNode document, JsonNode rows, String... columns) throws CtlException {
         if (json) {
-            json(whole);
+            printJson(document);
             return;
         }
         List<List<String>> cells = new ArrayList<>();
         cells.add(List.of(columns));
         for (JsonNode row : rows) {
-            List<String> line = new ArrayList<>();
+            List<String> texts = new ArrayList<>();
             for (String column : columns) {
                 JsonNode value = row.at("/" + column.replace('.', '/'));
-                line.add(value.isValueNode() ? value.asText() : value.toString());
+                texts.add(value.isValueNode() ? value.asText() : value.toString());
             }
-            cells.add(line);
+            cells.add(texts);
         }
-        print(cells);
+        printAligned(cells);
     }
 
-    private void print(List<List<String>> cells) {
+    private void printAligned(List<List<String>> cells) {
         int columns = cells.getFirst().size();
         int[] widths = new int[columns];
         for (List<String> row : cells) {
@@ -67,7 +71,7 @@
         }
     }
 
-    private void json(Object value) throws CtlException {
+    private void printJson(Object value) throws CtlException {
         try {
             out.println(Codecs.json().writerWithDefaultPrettyPrinter().writeValueAsString(value));
         } catch (JsonProcessingException e) {
--- a/acacia-ctl/src/test/java/org/acaciaport/ctl/CtlTest.java
+++ b/acacia-ctl/src/test/java/org/acaciaport/ctl/CtlTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests of the command line: what it accepts and how it ends. */
+/** Tests which command lines {@code acaciactl} accepts, and with which exit codes and errors. */
 final class CtlTest {
     private static final Path SAMPLES = Path.of("..", "samples");
 
     @TempDir
-    Path folder;
+    Path directory;
 
     @Test
-    void bothSampleConfigurationsAreGood() {
+    void sampleConfigurationsAreValid() {
         for (String deployment : new String[] {"kigali", "dk-vest"}) {
             String file =
                     SAMPLES.resolve(deployment).resolve("configuration.toml").toString();
@@ -28,17 +28,18 @@
     }
 
     @Test
-    void helpAndVersionEndWell() {
+    void helpAndVersionSucceed() {
         assertThat(CtlMain.run("--help")).isEqualTo(ExitCode.OK);
         assertThat(CtlMain.run("version")).isEqualTo(ExitCode.OK);
     }
 
     @Test
     void settingsAreCheckedWithoutACommand() {
-        String good = SAMPLES.resolve("kigali").resolve("acaciactl.toml").toString();
-        String other = SAMPLES.resolve("kigali").resolve("configuration.toml").toString();
-        assertThat(CtlMain.run("--settings", good, "--check-settings")).isEqualTo(ExitCode.OK);
-        assertThat(CtlMain.run("--settings", other, "--check-settings")).isEqualTo(ExitCode.USAGE);
+        String valid = SAMPLES.resolve("kigali").resolve("acaciactl.toml").toString();
+        String wrongFile =
+                SAMPLES.resolve("kigali").resolve("configuration.toml").toString();
+        assertThat(CtlMain.run("--settings", valid, "--check-settings")).isEqualTo(ExitCode.OK);
+        assertThat(CtlMain.run("--settings", wrongFile, "--check-settings")).isEqualTo(ExitCode.USAGE);
     }
 
     @Test
@@ -49,13 +50,14 @@
     }
 
     @Test
-    void configurationThatDoesNotFitIsRefusedWithEveryProblem() throws Exception {
-        String good = Files.readString(SAMPLES.resolve("kigali").resolve("configuration.toml"));
-        String bad = good.replace("idempotent = false", "idempotent = false\nborrows = true")
+    void invalidConfigurationIsRejectedWithEveryProblem() throws Exception {
+        String valid = Files.readString(SAMPLES.resolve("kigali").resolve("configuration.toml"));
+        String invalid = valid.replace("idempotent = false", "idempotent = false\nborrows = true")
                 .replace("priority = 50", "priority = 500")
                 .replace("http://127.0.0.1:7003/targets/gasabo-08", "http://gasabo/x");
-        Path file = folder.resolve("bad.toml");
-        Files.writeString(file, bad.replace("borrows = true\nborrows = false", "borrows = true"));
+        Path file = directory.resolve("bad.toml");
+        // A duplicate key would be a syntax error, which hides the problems that the test looks for.
+        Files.writeString(file, invalid.replace("borrows = true\nborrows = false", "borrows = true"));
         String errors = errorsOf("config", "check", file.toString());
         assertThat(errors).contains("bad.toml");
         assertThat(errors).contains("'proof' has priority 500");
@@ -63,18 +65,18 @@
     }
 
     @Test
-    void guaranteeThatDoesNotFitIsRefused() throws Exception {
-        String good = Files.readString(SAMPLES.resolve("kigali").resolve("configuration.toml"));
-        Path file = folder.resolve("large.toml");
+    void guaranteeBeyondTheCapacityIsRejected() throws Exception {
+        String valid = Files.readString(SAMPLES.resolve("kigali").resolve("configuration.toml"));
+        Path file = directory.resolve("large.toml");
         Files.writeString(
                 file,
-                good.replace("accelerators-per-target = 4, targets = 3", "accelerators-per-target = 8, targets = 3"));
+                valid.replace("accelerators-per-target = 4, targets = 3", "accelerators-per-target = 8, targets = 3"));
         assertThat(errorsOf("config", "check", file.toString())).contains("does not fit");
     }
 
     @Test
-    void unreachablePlatformIsToldApart() throws Exception {
-        Path file = folder.resolve("ctl.toml");
+    void unreachableGatewayOrPlatformIsReportedAsUnavailable() throws Exception {
+        Path file = directory.resolve("ctl.toml");
         Files.writeString(
                 file,
                 "operator = \"op\"\nplatform = \"http://127.0.0.1:1\"\ncallers = [\"http://127.0.0.1:1\"]\n"
@@ -84,14 +86,14 @@
     }
 
     private static String errorsOf(String... arguments) {
-        PrintStream before = System.err;
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+        PrintStream originalErr = System.err;
+        ByteArrayOutputStream capturedErr = new ByteArrayOutputStream();
+        System.setErr(new PrintStream(capturedErr, true, StandardCharsets.UTF_8));
         try {
             assertThat(CtlMain.run(arguments)).isEqualTo(ExitCode.USAGE);
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
-        return bytes.toString(StandardCharsets.UTF_8);
+        return capturedErr.toString(StandardCharsets.UTF_8);
     }
 }
