--- a/acacia-proofs/src/test/java/org/acaciaport/decision/CellDriver.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/CellSimulation.java
@@ -31,54 +31,53 @@
  * Drives the decisions of one data centre in virtual time, with fakes for its targets and the log, and checks every
  * decision. The same seed gives the same run.
  */
-final class CellDriver {
-    private static final long PERMIT_MILLIS = 3_000;
-    private static final long PERMIT_PERIOD_MILLIS = 500;
-    private static final long AUDIT_EVERY = 256;
-    private static final long HOLD_MILLIS = 2_000;
+final class CellSimulation {
+    private static final long PERMIT_DURATION_MILLIS = 3_000;
+    private static final long PERMIT_RENEWAL_MILLIS = 500;
+    private static final long AUDIT_INTERVAL_STEPS = 256;
+    private static final long RESERVATION_HOLD_MILLIS = 2_000;
     private static final int TRACE_LINES = 80;
 
     /** Something that happens later. */
-    private record Scheduled(long at, long order, Runnable action) {}
+    private record ScheduledAction(long at, long sequence, Runnable action) {}
 
     private final RandomGenerator random;
     private final Decider decider;
     private final String dataCentre;
     private final Map<String, FakeTarget> targets = new TreeMap<>();
-    private final PriorityQueue<Scheduled> agenda =
-            new PriorityQueue<>(Comparator.comparingLong(Scheduled::at).thenComparingLong(Scheduled::order));
+    private final PriorityQueue<ScheduledAction> actions = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledAction::at).thenComparingLong(ScheduledAction::sequence));
     private final Map<String, Request> accepted = new LinkedHashMap<>();
     private final Map<String, Outcome> answers = new LinkedHashMap<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
     private final Map<String, Attempt> intents = new HashMap<>();
-    private final Map<String, Long> lastArrival = new HashMap<>();
-    private final Set<String> saved = new HashSet<>();
+    private final Map<String, Long> lastArrivalByTarget = new HashMap<>();
+    private final Set<String> checkpointed = new HashSet<>();
     private final ArrayDeque<Runnable> pendingRecords = new ArrayDeque<>();
-    private final Set<String> bad = new HashSet<>();
+    private final Set<String> failing = new HashSet<>();
     private final List<Violation> violations = new ArrayList<>();
     private final EnumMap<Fault, Integer> faults = new EnumMap<>(Fault.class);
     private final ArrayDeque<String> trace = new ArrayDeque<>();
     private final Hasher digest = Hashing.sha256().newHasher();
-
-    private final OutsideChecks outside = new OutsideChecks(targets, answers, violations);
+    private final ExternalInvariants externalInvariants = new ExternalInvariants(targets, answers, violations);
     private Invariants invariants;
     private CellState state;
     private ActiveConfiguration active;
     private final Configuration original;
     private long epoch = 1;
     private long now = 1_000_000;
-    private long order;
+    private long nextSequence;
     private long steps;
-    private long checks;
+    private long earlierChecks;
     private long pausedUntil;
-    private long requests;
-    private boolean stopsAtViolation = true;
-    private boolean logArbitrates = true;
-    private boolean logUp = true;
-    private boolean permits = true;
-    private final Set<String> leaving = new HashSet<>();
-
-    CellDriver(long seed, Configuration configuration, String dataCentre, Policy policy, Rules rules) {
+    private long submitted;
+    private boolean stopsAtViolations = true;
+    private boolean logRejectsDuplicateIntents = true;
+    private boolean logAvailable = true;
+    private boolean renewsPermits = true;
+    private final Set<String> leavingTargets = new HashSet<>();
+
+    CellSimulation(long seed, Configuration configuration, String dataCentre, Policy policy, Rules rules) {
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         decider = new Decider(policy, rules);
         this.dataCentre = dataCentre;
@@ -89,13 +88,11 @@
         }
         invariants = new Invariants(policy);
         state = CellState.initial(dataCentre, epoch);
-        event(new Event.Configured(active));
-        targets.keySet().forEach(id -> event(new Event.TargetReachable(id)));
+        handle(new Event.Configured(active));
+        targets.keySet().forEach(id -> handle(new Event.TargetReachable(id)));
         renewPermits();
     }
 
-    // Queries.
-
     List<Violation> violations() {
         return violations;
     }
@@ -105,7 +102,7 @@
     }
 
     long checks() {
-        return checks + invariants.checkCount();
+        return earlierChecks + invariants.checkCount();
     }
 
     long now() {
@@ -129,7 +126,7 @@
     }
 
     /** Returns how long the request waited for its answer, in milliseconds, or -1. */
-    long completion(String request) {
+    long completionMillis(String request) {
         return answeredAt.containsKey(request)
                 ? answeredAt.get(request) - accepted.get(request).acceptedAt()
                 : -1;
@@ -147,138 +144,136 @@
         return trace;
     }
 
-    // Commands.
-
     /** Goes on after a violation, to measure policies that break promises. */
-    void goOnAfterViolations() {
-        stopsAtViolation = false;
+    void continueAfterViolations() {
+        stopsAtViolations = false;
     }
 
-    private boolean goesOn() {
-        return !stopsAtViolation || violations.isEmpty();
+    private boolean shouldContinue() {
+        return !stopsAtViolations || violations.isEmpty();
     }
 
     /** Makes the log take every intent, also a second one for a request. */
-    void letLogTakeAnything() {
-        logArbitrates = false;
+    void acceptDuplicateIntents() {
+        logRejectsDuplicateIntents = false;
     }
 
-    /** Runs until {@code wanted} more decisions are made or a violation is found. */
-    void run(long wanted, Map<Fault, Integer> weights) {
-        long end = steps + wanted;
+    /** Runs until {@code decisions} more decisions are made or a violation is found. */
+    void run(long decisions, Map<Fault, Integer> weights) {
+        long end = steps + decisions;
         int total = weights.values().stream().mapToInt(Integer::intValue).sum();
-        while (steps < end && goesOn()) {
-            act(weights, total);
+        while (steps < end && shouldContinue()) {
+            injectRandomFault(weights, total);
             advance(now + random.nextLong(1, 400));
         }
     }
 
-    /** Ends all faults and runs until every request is answered or {@code millis} have passed. */
-    void settle(long millis) {
+    /** Ends all faults and runs until every request is answered or {@code maxMillis} have passed. */
+    void settle(long maxMillis) {
         targets.values().forEach(t -> {
             t.setFailsAll(false);
             t.setIgnoresTreatments(false);
-            if (!t.up()) {
+            if (!t.isUp()) {
                 restart(t);
             }
         });
-        bad.clear();
-        leaving.clear();
-        outside.noneLeaves();
-        event(new Event.LeavingListed(Set.of()));
-        setLog(true);
-        permits = true;
-        outside.takenOut(Long.MAX_VALUE);
-        configure(new ActiveConfiguration(active.revision() + 1, original, Set.of()));
-        long end = now + millis;
-        while (now < end && answers.size() < accepted.size() && goesOn()) {
+        failing.clear();
+        leavingTargets.clear();
+        externalInvariants.clearLeaving();
+        handle(new Event.LeavingListed(Set.of()));
+        setLogAvailable(true);
+        renewsPermits = true;
+        externalInvariants.setOutOfServiceSince(Long.MAX_VALUE);
+        publishConfiguration(new ActiveConfiguration(active.revision() + 1, original, Set.of()));
+        long end = now + maxMillis;
+        while (now < end && answers.size() < accepted.size() && shouldContinue()) {
             advance(now + 1_000);
         }
     }
 
     /** Submits one request of {@code profile} that truly runs for {@code runMillis}. */
     String submit(String account, Profile profile, long runMillis) {
-        String id = "r" + ++requests;
+        String id = "r" + ++submitted;
         Request request = new Request(
-                id, account, "k" + requests, profile, Long.toString(runMillis), now, now + profile.queueLimitMillis());
+                id, account, "k" + submitted, profile, Long.toString(runMillis), now, now + profile.queueLimitMillis());
         accepted.put(id, request);
-        event(new Event.Submitted(request, false));
+        handle(new Event.Submitted(request, false));
         return id;
     }
 
     /** Passes time until {@code until}, with everything that happens meanwhile. */
     void advance(long until) {
-        while (goesOn()) {
+        while (shouldContinue()) {
             long timer = Math.max(state.nextTimerAt().orElse(Long.MAX_VALUE), pausedUntil);
-            long next = agenda.isEmpty() ? Long.MAX_VALUE : agenda.peek().at();
+            long next = actions.isEmpty() ? Long.MAX_VALUE : actions.peek().at();
             if (Math.min(timer, next) > until) {
                 break;
             }
             if (next <= timer) {
-                Scheduled scheduled = agenda.poll();
+                ScheduledAction scheduled = actions.poll();
                 now = Math.max(now, scheduled.at());
                 scheduled.action().run();
             } else {
                 now = Math.max(now, timer);
-                event(new Event.Tick());
+                handle(new Event.Tick());
             }
         }
         now = Math.max(now, until);
     }
 
-    void later(long millis, Runnable action) {
-        agenda.add(new Scheduled(now + millis, order++, action));
+    void schedule(long delayMillis, Runnable action) {
+        actions.add(new ScheduledAction(now + delayMillis, nextSequence++, action));
     }
 
-    void takeOut(boolean out) {
+    void setOutOfService(boolean out) {
         boolean isOut = active.out().contains(dataCentre);
         if (out == isOut) {
             return;
         }
-        outside.takenOut(out ? now : Long.MAX_VALUE);
-        configure(new ActiveConfiguration(
+        externalInvariants.setOutOfServiceSince(out ? now : Long.MAX_VALUE);
+        publishConfiguration(new ActiveConfiguration(
                 active.revision() + 1, active.configuration(), out ? Set.of(dataCentre) : Set.of()));
     }
 
     void crash(FakeTarget target) {
-        if (!target.up()) {
+        if (!target.isUp()) {
             return;
         }
         target.crash();
         int incarnation = target.incarnation();
-        later(1_000 + random.nextLong(5_000), () -> {
-            if (!target.up() && target.incarnation() == incarnation) {
-                event(new Event.TargetLost(target.id()));
+        schedule(1_000 + random.nextLong(5_000), () -> {
+            if (!target.isUp() && target.incarnation() == incarnation) {
+                handle(new Event.TargetLost(target.id()));
             }
         });
-        later(8_000 + random.nextLong(20_000), () -> restart(target));
+        schedule(8_000 + random.nextLong(20_000), () -> restart(target));
     }
 
     private void restart(FakeTarget target) {
-        if (target.up()) {
+        if (target.isUp()) {
             return;
         }
         target.restart();
-        target.rules(epoch);
-        event(new Event.TargetLost(target.id()));
-        event(new Event.TargetReachable(target.id()));
+        target.acceptEpoch(epoch);
+        handle(new Event.TargetLost(target.id()));
+        handle(new Event.TargetReachable(target.id()));
     }
 
-    private void setLog(boolean up) {
-        if (logUp != up) {
-            logUp = up;
+    private void setLogAvailable(boolean available) {
+        if (logAvailable != available) {
+            logAvailable = available;
             flushLog();
-            event(new Event.LogChanged(up));
+            handle(new Event.LogChanged(available));
         }
     }
 
     /** Gives a later revision to the scheduler; an unreachable log delays it. */
-    private void configure(ActiveConfiguration next) {
+    private void publishConfiguration(ActiveConfiguration next) {
         active = next;
-        later(logUp ? random.nextLong(5, 200) : 0, () -> event(new Event.Configured(next)));
+        schedule(logAvailable ? random.nextLong(5, 200) : 0, () -> handle(new Event.Configured(next)));
     }
 
-    private void act(Map<Fault, Integer> weights, int total) {
+    private void injectRandomFault(Map<Fault, Integer> weights, int total) {
         int draw = random.nextInt(total);
         for (Fault fault : Fault.values()) {
             draw -= weights.getOrDefault(fault, 0);
@@ -292,46 +287,46 @@
 
     private void inject(Fault fault) {
         switch (fault) {
-            case SUBMIT -> submitAny();
+            case SUBMIT -> submitRandom();
             case BURST -> {
                 for (int i = 0; i < 100; i++) {
-                    submitAny();
+                    submitRandom();
                 }
             }
-            case CANCEL -> cancelAny();
+            case CANCEL -> cancelRandom();
             case CANCEL_WAVE ->
                 state.workload().jobs().keySet().stream()
                         .sorted()
                         .toList()
-                        .forEach(id -> event(new Event.CancelAsked(id)));
-            case TARGET_FAILS_ALL -> anyTarget().setFailsAll(true);
+                        .forEach(id -> handle(new Event.CancelAsked(id)));
+            case TARGET_FAILS_ALL -> randomTarget().setFailsAll(true);
             case TARGET_HEALS ->
                 targets.values().forEach(t -> {
                     t.setFailsAll(false);
                     t.setIgnoresTreatments(false);
                 });
-            case TARGET_IGNORES_TREATMENTS -> anyTarget().setIgnoresTreatments(true);
-            case TARGET_CRASHES -> crash(anyTarget());
+            case TARGET_IGNORES_TREATMENTS -> randomTarget().setIgnoresTreatments(true);
+            case TARGET_CRASHES -> crash(randomTarget());
             case RACK_LOST -> {
-                String rack = anyTarget().target().rack();
+                String rack = randomTarget().target().rack();
                 targets.values().stream()
                         .filter(t -> t.target().rack().equals(rack))
                         .forEach(this::crash);
             }
-            case TARGET_LEAVES -> leave(anyTarget().id());
+            case TARGET_LEAVES -> startLeaving(randomTarget().id());
             case TARGET_STAYS -> {
-                leaving.clear();
-                outside.noneLeaves();
-                event(new Event.LeavingListed(Set.of()));
+                leavingTargets.clear();
+                externalInvariants.clearLeaving();
+                handle(new Event.LeavingListed(Set.of()));
             }
-            case DATA_CENTRE_OUT -> takeOut(true);
-            case DATA_CENTRE_IN -> takeOut(false);
-            case LOG_DOWN -> setLog(false);
-            case LOG_UP -> setLog(true);
-            case PERMITS_STOP -> permits = false;
-            case PERMITS_GO_ON -> permits = true;
+            case DATA_CENTRE_OUT -> setOutOfService(true);
+            case DATA_CENTRE_IN -> setOutOfService(false);
+            case LOG_DOWN -> setLogAvailable(false);
+            case LOG_UP -> setLogAvailable(true);
+            case PERMITS_STOP -> renewsPermits = false;
+            case PERMITS_GO_ON -> renewsPermits = true;
             case STALE_CONFIGURATION ->
-                event(new Event.Configured(
+                handle(new Event.Configured(
                         new ActiveConfiguration(random.nextLong(state.active().revision() + 1), original, Set.of())));
             case CONFIGURATION_CHANGED -> changeConfiguration();
             case SCHEDULER_PAUSED -> pausedUntil = now + random.nextLong(500, 8_000);
@@ -339,61 +334,61 @@
         }
     }
 
-    private void submitAny() {
+    private void submitRandom() {
         List<Profile> profiles = active.configuration().profiles();
         Profile profile = profiles.get(random.nextInt(profiles.size()));
-        boolean skewed = random.nextInt(3) > 0;
-        int accounts = active.configuration().accounts().size();
+        boolean useFirstAccount = random.nextInt(3) > 0;
+        int accountCount = active.configuration().accounts().size();
         String account = active.configuration()
                 .accounts()
-                .get(skewed ? 0 : random.nextInt(accounts))
+                .get(useFirstAccount ? 0 : random.nextInt(accountCount))
                 .name();
-        long typical = Math.min(profile.runLimitMillis(), 20_000);
-        long run = random.nextInt(20) == 0 ? profile.runLimitMillis() * 3 : random.nextLong(50, typical);
-        String id = submit(account, profile, run);
+        long maxTypicalMillis = Math.min(profile.runLimitMillis(), 20_000);
+        long runMillis = random.nextInt(20) == 0 ? profile.runLimitMillis() * 3 : random.nextLong(50, maxTypicalMillis);
+        String id = submit(account, profile, runMillis);
         if (random.nextInt(25) == 0) {
-            bad.add(id);
+            failing.add(id);
         }
     }
 
-    private void cancelAny() {
+    private void cancelRandom() {
         List<String> unfinished =
                 state.workload().jobs().keySet().stream().sorted().toList();
         if (!unfinished.isEmpty()) {
-            event(new Event.CancelAsked(unfinished.get(random.nextInt(unfinished.size()))));
+            handle(new Event.CancelAsked(unfinished.get(random.nextInt(unfinished.size()))));
         }
     }
 
-    private void leave(String id) {
-        leaving.add(id);
-        outside.leaves(id, now);
-        Set<String> listed = ImmutableSortedSet.copyOf(leaving);
-        later(random.nextLong(1_000), () -> event(new Event.LeavingListed(listed)));
+    private void startLeaving(String id) {
+        leavingTargets.add(id);
+        externalInvariants.markLeaving(id, now);
+        Set<String> listed = ImmutableSortedSet.copyOf(leavingTargets);
+        schedule(random.nextLong(1_000), () -> handle(new Event.LeavingListed(listed)));
     }
 
     private void changeConfiguration() {
         List<Profile> profiles = new ArrayList<>(original.profiles());
         profiles.remove(random.nextInt(profiles.size()));
-        List<Target> fewer = new ArrayList<>(original.targets());
+        List<Target> remaining = new ArrayList<>(original.targets());
         if (random.nextBoolean()) {
-            fewer.removeIf(t -> t.id().equals(anyTarget().id()));
+            remaining.removeIf(t -> t.id().equals(randomTarget().id()));
         }
-        Configuration next =
-                new Configuration(original.dataCentres(), fewer, original.accounts(), original.guarantees(), profiles);
-        configure(new ActiveConfiguration(active.revision() + 1, next, active.out()));
-        for (Target target : fewer) {
+        Configuration next = new Configuration(
+                original.dataCentres(), remaining, original.accounts(), original.guarantees(), profiles);
+        publishConfiguration(new ActiveConfiguration(active.revision() + 1, next, active.out()));
+        for (Target target : remaining) {
             FakeTarget fake = targets.get(target.id());
-            if (fake != null && fake.up()) {
-                later(500, () -> {
-                    if (fake.up()) {
-                        event(new Event.TargetReachable(fake.id()));
+            if (fake != null && fake.isUp()) {
+                schedule(500, () -> {
+                    if (fake.isUp()) {
+                        handle(new Event.TargetReachable(fake.id()));
                     }
                 });
             }
         }
     }
 
-    private FakeTarget anyTarget() {
+    private FakeTarget randomTarget() {
         List<FakeTarget> all = List.copyOf(targets.values());
         return all.get(random.nextInt(all.size()));
     }
@@ -403,28 +398,28 @@
         epoch++;
         pausedUntil = now;
         pendingRecords.clear();
-        checks += invariants.checkCount();
+        earlierChecks += invariants.checkCount();
         invariants = new Invariants(decider.policy());
         state = CellState.initial(dataCentre, epoch);
-        event(new Event.Configured(active));
-        event(new Event.LogChanged(logUp));
-        event(new Event.LeavingListed(ImmutableSortedSet.copyOf(leaving)));
+        handle(new Event.Configured(active));
+        handle(new Event.LogChanged(logAvailable));
+        handle(new Event.LeavingListed(ImmutableSortedSet.copyOf(leavingTargets)));
         for (Request request : List.copyOf(accepted.values())) {
             if (!answers.containsKey(request.id())) {
-                event(new Event.Recovered(
-                        request, Optional.ofNullable(intents.get(request.id())), saved.contains(request.id())));
+                handle(new Event.Recovered(
+                        request, Optional.ofNullable(intents.get(request.id())), checkpointed.contains(request.id())));
             }
         }
         for (FakeTarget target : targets.values()) {
-            target.rules(epoch);
-            for (String key : target.running()) {
+            target.acceptEpoch(epoch);
+            for (String key : target.runningKeys()) {
                 String[] parts = key.split("#");
                 Job job = state.workload().jobs().get(parts[0]);
-                boolean follows = job != null
+                boolean isCurrent = job != null
                         && job.phase() instanceof Phase.Running running
                         && running.attempt().number() == Long.parseLong(parts[1]);
-                if (follows) {
-                    event(new Event.MemberChanged(
+                if (isCurrent) {
+                    handle(new Event.MemberChanged(
                             parts[0],
                             Long.parseLong(parts[1]),
                             Integer.parseInt(parts[2]),
@@ -433,29 +428,29 @@
                     target.end(key);
                 }
             }
-            if (target.up()) {
-                event(new Event.TargetReachable(target.id()));
+            if (target.isUp()) {
+                handle(new Event.TargetReachable(target.id()));
             }
         }
     }
 
     private void renewPermits() {
-        long until = now + PERMIT_MILLIS;
-        boolean applied = state.active().revision() >= active.revision();
-        if (permits && logUp && applied && now >= pausedUntil) {
-            event(new Event.LeavingListed(ImmutableSortedSet.copyOf(leaving)));
-            event(new Event.PermitRenewed(until));
+        long until = now + PERMIT_DURATION_MILLIS;
+        boolean isUpToDate = state.active().revision() >= active.revision();
+        if (renewsPermits && logAvailable && isUpToDate && now >= pausedUntil) {
+            handle(new Event.LeavingListed(ImmutableSortedSet.copyOf(leavingTargets)));
+            handle(new Event.PermitRenewed(until));
         }
-        later(PERMIT_PERIOD_MILLIS, this::renewPermits);
+        schedule(PERMIT_RENEWAL_MILLIS, this::renewPermits);
     }
 
     /** Decides on an event now, or once the scheduler goes on if it is paused. */
-    void event(Event event) {
+    void handle(Event event) {
         if (now < pausedUntil) {
-            long by = epoch;
-            agenda.add(new Scheduled(pausedUntil, order++, () -> {
-                if (by == epoch) {
-                    event(event);
+            long arrivalEpoch = epoch;
+            actions.add(new ScheduledAction(pausedUntil, nextSequence++, () -> {
+                if (arrivalEpoch == epoch) {
+                    handle(event);
                 }
             }));
             return;
@@ -465,14 +460,14 @@
         steps++;
         violations.addAll(invariants.check(before, event, decision, now));
         state = decision.state();
-        record(event, decision);
-        if (steps % AUDIT_EVERY == 0) {
+        recordStep(event, decision);
+        if (steps % AUDIT_INTERVAL_STEPS == 0) {
             violations.addAll(invariants.audit(state, now));
         }
-        decision.commands().forEach(command -> carryOut(command, epoch));
+        decision.commands().forEach(command -> execute(command, epoch));
     }
 
-    private void record(Event event, Decision decision) {
+    private void recordStep(Event event, Decision decision) {
         String line = now + " " + event + " -> " + decision.notes() + " " + decision.commands();
         digest.putString(line, StandardCharsets.UTF_8);
         trace.add(line.length() > 600 ? line.substring(0, 600) : line);
@@ -481,28 +476,28 @@
         }
     }
 
-    private long delay() {
+    private long randomDelayMillis() {
         return random.nextInt(50) == 0 ? random.nextLong(200, 3_500) : random.nextLong(1, 8);
     }
 
     /** Commands reach a target in order, except for a few that are repeated after a time-out. */
-    private void send(Member member, Runnable command) {
-        long arrival = now + delay();
+    private void sendToTarget(Member member, Runnable command) {
+        long arrival = now + randomDelayMillis();
         if (random.nextInt(100) > 0) {
-            arrival = Math.max(arrival, lastArrival.getOrDefault(member.target(), 0L));
-            lastArrival.put(member.target(), arrival);
+            arrival = Math.max(arrival, lastArrivalByTarget.getOrDefault(member.target(), 0L));
+            lastArrivalByTarget.put(member.target(), arrival);
         }
-        later(arrival - now, command);
+        schedule(arrival - now, command);
     }
 
-    private void carryOut(Command command, long by) {
+    private void execute(Command command, long senderEpoch) {
         switch (command) {
-            case Command.Reserve reserve -> later(delay(), () -> reserve(reserve, by));
+            case Command.Reserve reserve -> schedule(randomDelayMillis(), () -> reserve(reserve, senderEpoch));
             case Command.Release release ->
-                later(delay(), () -> {
+                schedule(randomDelayMillis(), () -> {
                     FakeTarget target = targets.get(release.member().target());
-                    if (target.rules(by)) {
-                        target.release(FakeTarget.key(
+                    if (target.acceptEpoch(senderEpoch)) {
+                        target.release(FakeTarget.memberKey(
                                 release.request(),
                                 release.attempt(),
                                 release.member().index()));
@@ -510,73 +505,73 @@
                 });
             case Command.Start start -> {
                 int incarnation = targets.get(start.member().target()).incarnation();
-                send(start.member(), () -> start(start, by, incarnation));
+                sendToTarget(start.member(), () -> start(start, senderEpoch, incarnation));
             }
             case Command.Treat treat -> {
                 int incarnation = targets.get(treat.member().target()).incarnation();
-                send(treat.member(), () -> treat(treat, by, incarnation));
+                sendToTarget(treat.member(), () -> treat(treat, senderEpoch, incarnation));
             }
-            case Command.Resume resume -> send(resume.member(), () -> resume(resume, by));
-            case Command.RecordIntent intent -> append(() -> recordIntent(intent, by));
+            case Command.Resume resume -> sendToTarget(resume.member(), () -> resume(resume, senderEpoch));
+            case Command.RecordIntent intent -> append(() -> recordIntent(intent, senderEpoch));
             case Command.RecordVoid recordVoid -> append(() -> recordVoid(recordVoid));
             case Command.Answer answer -> answer(answer);
-            case Command.HandOver handOver -> later(delay(), () -> handOver(handOver, by));
+            case Command.HandOver handOver -> schedule(randomDelayMillis(), () -> handOver(handOver, senderEpoch));
         }
     }
 
-    private void report(long by, Event event) {
+    private void report(long senderEpoch, Event event) {
         int copies = random.nextInt(30) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            later(delay(), () -> {
-                if (by == epoch) {
-                    event(event);
+            schedule(randomDelayMillis(), () -> {
+                if (senderEpoch == epoch) {
+                    handle(event);
                 }
             });
         }
     }
 
-    private void reserve(Command.Reserve reserve, long by) {
+    private void reserve(Command.Reserve reserve, long senderEpoch) {
         FakeTarget target = targets.get(reserve.member().target());
-        String key = FakeTarget.key(
+        String key = FakeTarget.memberKey(
                 reserve.request(), reserve.attempt(), reserve.member().index());
-        boolean granted = target.rules(by)
-                && target.reserve(key, reserve.member().units(), now, reserve.deadline() + HOLD_MILLIS);
+        boolean granted = target.acceptEpoch(senderEpoch)
+                && target.reserve(key, reserve.member().units(), now, reserve.deadline() + RESERVATION_HOLD_MILLIS);
         report(
-                by,
+                senderEpoch,
                 new Event.ReserveAnswered(
                         reserve.request(), reserve.attempt(), reserve.member().index(), granted));
     }
 
-    private void start(Command.Start start, long by, int incarnation) {
+    private void start(Command.Start start, long senderEpoch, int incarnation) {
         FakeTarget target = targets.get(start.member().target());
-        if (!target.rules(by) || target.incarnation() != incarnation) {
+        if (!target.acceptEpoch(senderEpoch) || target.incarnation() != incarnation) {
             return;
         }
-        outside.startArrived(start, target.id(), now);
+        externalInvariants.checkStartArrival(start, target.id(), now);
         if (!target.start(start, now)) {
-            member(start, by, MemberState.Status.NOT_STARTED, "");
+            reportMember(start, senderEpoch, MemberState.Status.NOT_STARTED, "");
             return;
         }
-        outside.started(start);
-        member(start, by, MemberState.Status.RUNNING, "");
-        long run = Long.parseLong(start.request().payload());
-        boolean fails = target.failsAll() || bad.contains(start.request().id());
-        long ends = fails ? Math.min(run, 50) : run;
-        later(ends, () -> finish(start, target, fails));
+        externalInvariants.checkStarted(start);
+        reportMember(start, senderEpoch, MemberState.Status.RUNNING, "");
+        long runMillis = Long.parseLong(start.request().payload());
+        boolean fails = target.failsAll() || failing.contains(start.request().id());
+        long endsAfterMillis = fails ? Math.min(runMillis, 50) : runMillis;
+        schedule(endsAfterMillis, () -> finishMember(start, target, fails));
     }
 
-    private void finish(Command.Start start, FakeTarget target, boolean fails) {
-        String key = FakeTarget.key(
+    private void finishMember(Command.Start start, FakeTarget target, boolean fails) {
+        String key = FakeTarget.memberKey(
                 start.request().id(), start.attempt().number(), start.member().index());
-        if (target.up() && target.end(key)) {
+        if (target.isUp() && target.end(key)) {
             MemberState.Status status = fails ? MemberState.Status.FAILED : MemberState.Status.ENDED;
-            member(start, epoch, status, "output of " + start.request().id());
+            reportMember(start, epoch, status, "output of " + start.request().id());
         }
     }
 
-    private void member(Command.Start start, long by, MemberState.Status status, String output) {
+    private void reportMember(Command.Start start, long senderEpoch, MemberState.Status status, String output) {
         report(
-                by,
+                senderEpoch,
                 new Event.MemberChanged(
                         start.request().id(),
                         start.attempt().number(),
@@ -584,19 +579,19 @@
                         new MemberState(status, output)));
     }
 
-    private void treat(Command.Treat treat, long by, int incarnation) {
+    private void treat(Command.Treat treat, long senderEpoch, int incarnation) {
         FakeTarget target = targets.get(treat.member().target());
-        if (!target.rules(by) || target.incarnation() != incarnation) {
+        if (!target.acceptEpoch(senderEpoch) || target.incarnation() != incarnation) {
             return;
         }
         if (target.ignoresTreatments() && treat.treatment() != Treatment.STOP) {
             return;
         }
-        String key =
-                FakeTarget.key(treat.request(), treat.attempt(), treat.member().index());
-        if (target.refuse(key)) {
+        String key = FakeTarget.memberKey(
+                treat.request(), treat.attempt(), treat.member().index());
+        if (target.refuseIfNotStarted(key)) {
             report(
-                    by,
+                    senderEpoch,
                     new Event.MemberChanged(
                             treat.request(),
                             treat.attempt(),
@@ -604,21 +599,22 @@
                             MemberState.of(MemberState.Status.NOT_STARTED)));
             return;
         }
-        long takes = treat.treatment() == Treatment.CHECKPOINT ? random.nextLong(20, 2_500) : random.nextLong(5, 100);
-        later(takes, () -> {
-            if (target.up() && target.end(key)) {
+        long durationMillis =
+                treat.treatment() == Treatment.CHECKPOINT ? random.nextLong(20, 2_500) : random.nextLong(5, 100);
+        schedule(durationMillis, () -> {
+            if (target.isUp() && target.end(key)) {
                 report(
-                        by,
+                        senderEpoch,
                         new Event.MemberChanged(
                                 treat.request(),
                                 treat.attempt(),
                                 treat.member().index(),
-                                MemberState.of(after(treat))));
+                                MemberState.of(statusAfter(treat))));
             }
         });
     }
 
-    private static MemberState.Status after(Command.Treat treat) {
+    private static MemberState.Status statusAfter(Command.Treat treat) {
         return switch (treat.treatment()) {
             case CHECKPOINT -> MemberState.Status.CHECKPOINTED;
             case THROTTLE -> MemberState.Status.THROTTLED;
@@ -626,16 +622,16 @@
         };
     }
 
-    private void resume(Command.Resume resume, long by) {
+    private void resume(Command.Resume resume, long senderEpoch) {
         FakeTarget target = targets.get(resume.member().target());
-        if (!target.rules(by)) {
+        if (!target.acceptEpoch(senderEpoch)) {
             return;
         }
-        String key = FakeTarget.key(
+        String key = FakeTarget.memberKey(
                 resume.request(), resume.attempt(), resume.member().index());
         target.resume(key, resume.member().units());
-        later(random.nextLong(50, 5_000), () -> {
-            if (target.up() && target.end(key)) {
+        schedule(random.nextLong(50, 5_000), () -> {
+            if (target.isUp() && target.end(key)) {
                 report(
                         epoch,
                         new Event.MemberChanged(
@@ -654,7 +650,7 @@
     }
 
     private void flushLog() {
-        while (logUp && !pendingRecords.isEmpty()) {
+        while (logAvailable && !pendingRecords.isEmpty()) {
             pendingRecords.poll().run();
         }
     }
@@ -664,34 +660,34 @@
         if (intent != null && intent.number() == recordVoid.attempt()) {
             intents.remove(recordVoid.request());
             if (recordVoid.checkpointed()) {
-                saved.add(recordVoid.request());
+                checkpointed.add(recordVoid.request());
             }
         }
     }
 
-    private void recordIntent(Command.RecordIntent intent, long by) {
+    private void recordIntent(Command.RecordIntent intent, long senderEpoch) {
         String id = intent.request().id();
-        boolean free = !answers.containsKey(id) && !intents.containsKey(id);
-        boolean recorded = by == epoch && (free || !logArbitrates);
+        boolean isFirst = !answers.containsKey(id) && !intents.containsKey(id);
+        boolean recorded = senderEpoch == epoch && (isFirst || !logRejectsDuplicateIntents);
         if (recorded) {
             intents.put(id, intent.attempt());
         }
-        report(by, new Event.IntentAnswered(id, intent.attempt().number(), recorded));
+        report(senderEpoch, new Event.IntentAnswered(id, intent.attempt().number(), recorded));
     }
 
-    private void handOver(Command.HandOver handOver, long by) {
-        boolean recorded = logUp && by == epoch && random.nextInt(4) > 0;
+    private void handOver(Command.HandOver handOver, long senderEpoch) {
+        boolean recorded = logAvailable && senderEpoch == epoch && random.nextInt(4) > 0;
         if (recorded) {
             answers.put(handOver.request().id(), new Outcome.NotRun("handed over"));
             answeredAt.put(handOver.request().id(), now);
         }
-        if (by == epoch) {
-            event(new Event.HandOverAnswered(handOver.request().id(), recorded));
+        if (senderEpoch == epoch) {
+            handle(new Event.HandOverAnswered(handOver.request().id(), recorded));
         }
     }
 
     private void answer(Command.Answer answer) {
-        outside.answered(answer);
+        externalInvariants.checkAnswer(answer);
         answers.putIfAbsent(answer.request().id(), answer.outcome());
         answeredAt.put(answer.request().id(), now);
     }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/DecisionBenchmark.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/DecisionBenchmark.java
@@ -35,13 +35,13 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
 public class DecisionBenchmark {
-    private static final int ACCELERATORS = 8;
-    private static final int RACK = 8;
-    private static final int ACCOUNTS = 4;
-    private static final long LIMIT_MILLIS = 86_400_000;
+    private static final int ACCELERATORS_PER_TARGET = 8;
+    private static final int TARGETS_PER_RACK = 8;
+    private static final int ACCOUNT_COUNT = 4;
+    private static final long QUEUE_AND_RUN_LIMIT_MILLIS = 86_400_000;
 
     /** Longer than starts are limited after a data centre comes into service, in milliseconds. */
-    private static final long RAMP_MILLIS = 60_000;
+    private static final long AFTER_RAMP_UP_MILLIS = 60_000;
 
     @Param({"30", "1600", "16000"})
     int targets;
@@ -52,35 +52,44 @@
     private final Profile large = profile("large", 8, 8, Adjacency.SAME_RACK);
     private CellState state;
     private long now = 1_000_000;
-    private long requests;
+    private long submittedCount;
 
     /** Fills the data centre. */
     @Setup
     public void fill() {
         state = CellState.initial("dc", 1);
-        step(new Event.Configured(new ActiveConfiguration(1, configuration(), Set.of())));
+        apply(new Event.Configured(new ActiveConfiguration(1, configuration(), Set.of())));
         for (int i = 0; i < targets; i++) {
-            step(new Event.TargetReachable("t" + i));
+            apply(new Event.TargetReachable("t" + i));
         }
-        now += RAMP_MILLIS;
-        step(new Event.PermitRenewed(Long.MAX_VALUE / 2));
-        for (int i = 0; i < targets * (ACCELERATORS - 1); i++) {
-            start(single);
+        now += AFTER_RAMP_UP_MILLIS;
+        apply(new Event.PermitRenewed(Long.MAX_VALUE / 2));
+        for (int i = 0; i < targets * (ACCELERATORS_PER_TARGET - 1); i++) {
+            submitAndStart(single);
         }
     }
 
     private Configuration configuration() {
-        List<Target> list = new ArrayList<>();
+        List<Target> targetList = new ArrayList<>();
         for (int i = 0; i < targets; i++) {
-            list.add(new Target("t" + i, "dc", "r" + i / RACK, "http://127.0.0.1:1", 32, 65_536, ACCELERATORS, 8, 64));
+            targetList.add(new Target(
+                    "t" + i,
+                    "dc",
+                    "r" + i / TARGETS_PER_RACK,
+                    "http://127.0.0.1:1",
+                    32,
+                    65_536,
+                    ACCELERATORS_PER_TARGET,
+                    8,
+                    64));
         }
         List<ClientAccount> accounts = new ArrayList<>();
-        for (int i = 0; i < ACCOUNTS; i++) {
+        for (int i = 0; i < ACCOUNT_COUNT; i++) {
             accounts.add(new ClientAccount("a" + i));
         }
         Guarantee guarantee = new Guarantee("dc", new Shape(4, 2, Adjacency.SAME_RACK));
         return new Configuration(
-                List.of(new DataCentre("dc")), list, accounts, List.of(guarantee), List.of(single, gang, large));
+                List.of(new DataCentre("dc")), targetList, accounts, List.of(guarantee), List.of(single, gang, large));
     }
 
     private static Profile profile(String name, int accelerators, int members, Adjacency adjacency) {
@@ -94,28 +103,29 @@
                 true,
                 List.of(Treatment.STOP),
                 List.of(),
-                LIMIT_MILLIS,
-                LIMIT_MILLIS);
+                QUEUE_AND_RUN_LIMIT_MILLIS,
+                QUEUE_AND_RUN_LIMIT_MILLIS);
     }
 
-    private Decision step(Event event) {
+    private Decision apply(Event event) {
         Decision decision = decider.decide(state, event, now);
         state = decision.state();
         return decision;
     }
 
     private Decision submit(Profile profile) {
-        String id = "r" + ++requests;
-        String account = "a" + requests % ACCOUNTS;
-        return step(new Event.Submitted(new Request(id, account, id, profile, "", now, now + LIMIT_MILLIS), false));
+        String id = "r" + ++submittedCount;
+        String account = "a" + submittedCount % ACCOUNT_COUNT;
+        return apply(new Event.Submitted(
+                new Request(id, account, id, profile, "", now, now + QUEUE_AND_RUN_LIMIT_MILLIS), false));
     }
 
-    private String start(Profile profile) {
+    private String submitAndStart(Profile profile) {
         submit(profile);
-        String id = "r" + requests;
+        String id = "r" + submittedCount;
         Job job = state.workload().jobs().get(id);
         if (job.phase() instanceof Phase.Running running) {
-            step(new Event.MemberChanged(
+            apply(new Event.MemberChanged(
                     id, running.attempt().number(), 0, MemberState.of(MemberState.Status.RUNNING)));
         }
         return id;
@@ -125,9 +135,9 @@
     @Benchmark
     public Object placeAndEndSingle() {
         submit(single);
-        String id = "r" + requests;
+        String id = "r" + submittedCount;
         Phase.Running running = (Phase.Running) state.workload().jobs().get(id).phase();
-        return step(new Event.MemberChanged(
+        return apply(new Event.MemberChanged(
                 id, running.attempt().number(), 0, new MemberState(MemberState.Status.ENDED, "")));
     }
 
@@ -135,13 +145,13 @@
     @Benchmark
     public Object placeAndCancelGang() {
         submit(gang);
-        return step(new Event.CancelAsked("r" + requests));
+        return apply(new Event.CancelAsked("r" + submittedCount));
     }
 
     /** Takes in a large job that finds no place, and cancels it: two decisions. */
     @Benchmark
     public Object queueAndCancelLarge() {
         submit(large);
-        return step(new Event.CancelAsked("r" + requests));
+        return apply(new Event.CancelAsked("r" + submittedCount));
     }
 }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/Deployments.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/Deployments.java
@@ -13,8 +13,8 @@
 
 /** The sample deployments, with profiles fit for runs of a few virtual hours. */
 final class Deployments {
-    private static final long RUN_MILLIS = 60_000;
-    private static final long QUEUE_MILLIS = 600_000;
+    private static final long MAX_RUN_MILLIS = 60_000;
+    private static final long MAX_QUEUE_MILLIS = 600_000;
 
     private Deployments() {}
 
@@ -27,18 +27,18 @@
                 sample.targets(),
                 sample.accounts(),
                 sample.guarantees(),
-                profiles(sample.profiles()));
+                profilesForRuns(sample.profiles()));
     }
 
     /** Returns the name of the sample's first data centre. */
-    static String first(Configuration configuration) {
+    static String firstDataCentre(Configuration configuration) {
         return configuration.dataCentres().getFirst().name();
     }
 
-    private static List<Profile> profiles(List<Profile> sample) {
+    private static List<Profile> profilesForRuns(List<Profile> sample) {
         List<Profile> profiles = new ArrayList<>();
-        for (Profile p : sample) {
-            profiles.add(limited(p));
+        for (Profile profile : sample) {
+            profiles.add(withCappedLimits(profile));
         }
         profiles.add(new Profile(
                 "impossible",
@@ -50,8 +50,8 @@
                 false,
                 List.of(),
                 List.of(),
-                QUEUE_MILLIS,
-                RUN_MILLIS));
+                MAX_QUEUE_MILLIS,
+                MAX_RUN_MILLIS));
         profiles.add(new Profile(
                 "movable-once",
                 new Shape(2, 1, Adjacency.SAME_TARGET),
@@ -62,23 +62,23 @@
                 true,
                 List.of(Treatment.CHECKPOINT, Treatment.STOP),
                 List.of(),
-                QUEUE_MILLIS,
-                RUN_MILLIS));
+                MAX_QUEUE_MILLIS,
+                MAX_RUN_MILLIS));
         return profiles;
     }
 
-    private static Profile limited(Profile p) {
+    private static Profile withCappedLimits(Profile profile) {
         return new Profile(
-                p.name(),
-                p.shape(),
-                p.processors(),
-                p.memoryMb(),
-                p.priority(),
-                p.idempotent(),
-                p.borrows(),
-                p.treatments(),
-                p.precedes(),
-                Math.min(QUEUE_MILLIS, p.queueLimitMillis()),
-                Math.min(RUN_MILLIS, p.runLimitMillis()));
+                profile.name(),
+                profile.shape(),
+                profile.processors(),
+                profile.memoryMb(),
+                profile.priority(),
+                profile.idempotent(),
+                profile.borrows(),
+                profile.treatments(),
+                profile.precedes(),
+                Math.min(MAX_QUEUE_MILLIS, profile.queueLimitMillis()),
+                Math.min(MAX_RUN_MILLIS, profile.runLimitMillis()));
     }
 }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/OutsideChecks.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/ExternalInvariants.java
@@ -6,50 +6,52 @@
 import org.acaciaport.request.Outcome;
 
 /** Promises that only the outside can check: the targets' own records of starts and the callers' answers. */
-final class OutsideChecks {
+final class ExternalInvariants {
     /** Longest time after a take-out, or a target's leaving, in which a start may still happen, in milliseconds. */
-    private static final long FEW_SECONDS_MILLIS = 4_000;
+    private static final long START_GRACE_MILLIS = 4_000;
 
     private final Map<String, FakeTarget> targets;
     private final Map<String, Outcome> answers;
     private final List<Violation> violations;
     private final Map<String, Long> leavingSince = new HashMap<>();
-    private long outSince = Long.MAX_VALUE;
+    private long outOfServiceSince = Long.MAX_VALUE;
 
-    OutsideChecks(Map<String, FakeTarget> targets, Map<String, Outcome> answers, List<Violation> violations) {
+    ExternalInvariants(Map<String, FakeTarget> targets, Map<String, Outcome> answers, List<Violation> violations) {
         this.targets = targets;
         this.answers = answers;
         this.violations = violations;
     }
 
-    void takenOut(long since) {
-        outSince = since;
+    void setOutOfServiceSince(long since) {
+        outOfServiceSince = since;
     }
 
-    void leaves(String target, long since) {
+    void markLeaving(String target, long since) {
         leavingSince.putIfAbsent(target, since);
     }
 
-    void noneLeaves() {
+    void clearLeaving() {
         leavingSince.clear();
     }
 
     /** A start reaches its target while its deadline has not passed. */
-    void startArrived(Command.Start start, String target, long now) {
+    void checkStartArrival(Command.Start start, String target, long now) {
         if (now >= start.attempt().startBefore()) {
             return;
         }
-        if (outSince != Long.MAX_VALUE && now - outSince > FEW_SECONDS_MILLIS) {
-            add(Violation.Invariant.PERMIT, start.request().id() + " started " + (now - outSince) + " ms after out");
+        if (outOfServiceSince != Long.MAX_VALUE && now - outOfServiceSince > START_GRACE_MILLIS) {
+            add(
+                    Violation.Invariant.PERMIT,
+                    start.request().id() + " started " + (now - outOfServiceSince) + " ms after out");
         }
         Long since = leavingSince.get(target);
-        if (since != null && now - since > FEW_SECONDS_MILLIS) {
+        if (since != null && now - since > START_GRACE_MILLIS) {
             add(Violation.Invariant.LEAVING, target + " got work " + (now - since) + " ms after leaving");
         }
     }
 
     /** Work that must not run twice starts each member once, unless it was checkpointed; answered work never starts. */
-    void started(Command.Start start) {
+    void checkStarted(Command.Start start) {
         String id = start.request().id();
         if (answers.containsKey(id)) {
             add(Violation.Invariant.NOT_RUN_TRUE, id + " started after its answer " + answers.get(id));
@@ -58,7 +60,7 @@
             return;
         }
         long count = targets.values().stream()
-                .flatMap(t -> t.started().stream())
+                .flatMap(t -> t.starts().stream())
                 .filter(s ->
                         s.request().equals(id) && s.member() == start.member().index())
                 .count();
@@ -67,22 +69,22 @@
         }
     }
 
-    void answered(Command.Answer answer) {
+    void checkAnswer(Command.Answer answer) {
         String id = answer.request().id();
         if (answers.containsKey(id)) {
             add(Violation.Invariant.ONE_ANSWER, id + " answered twice");
         }
         boolean ran = targets.values().stream()
-                .flatMap(t -> t.started().stream())
+                .flatMap(t -> t.starts().stream())
                 .anyMatch(s -> s.request().equals(id));
         if (answer.outcome() instanceof Outcome.NotRun && ran) {
             add(Violation.Invariant.NOT_RUN_TRUE, id + " ran but was answered as not run");
         }
         if (answer.outcome() instanceof Outcome.Done done) {
             int members = answer.request().profile().shape().targets();
-            boolean whole = done.answers().size() == members
+            boolean complete = done.answers().size() == members
                     && done.answers().stream().allMatch(a -> a.output().equals("output of " + id));
-            if (!whole) {
+            if (!complete) {
                 add(Violation.Invariant.ONE_ANSWER, id + " got a partial or foreign answer");
             }
         }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/FakeTarget.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/FakeTarget.java
@@ -12,16 +12,16 @@
 /** A target as a randomised run sees it: what it holds, what runs on it, and its own record of starts. */
 final class FakeTarget {
     /** One start, for the target's own record. */
-    record Started(String request, long attempt, int member, long at) {}
+    record StartRecord(String request, long attempt, int member, long at) {}
 
     /** Accelerators held until a time. */
-    private record Hold(int units, long until) {}
+    private record Reservation(int units, long until) {}
 
     private final Target target;
-    private final Map<String, Hold> held = new HashMap<>();
+    private final Map<String, Reservation> reservations = new HashMap<>();
     private final Map<String, Integer> running = new HashMap<>();
-    private final Set<String> known = new HashSet<>();
-    private final List<Started> started = new ArrayList<>();
+    private final Set<String> closedKeys = new HashSet<>();
+    private final List<StartRecord> starts = new ArrayList<>();
     private long epoch;
     private int incarnation;
     private boolean up = true;
@@ -40,7 +40,7 @@
         return target;
     }
 
-    boolean up() {
+    boolean isUp() {
         return up;
     }
 
@@ -48,28 +48,28 @@
         return failsAll;
     }
 
-    void setFailsAll(boolean next) {
-        failsAll = next;
+    void setFailsAll(boolean value) {
+        failsAll = value;
     }
 
     boolean ignoresTreatments() {
         return ignoresTreatments;
     }
 
-    void setIgnoresTreatments(boolean next) {
-        ignoresTreatments = next;
+    void setIgnoresTreatments(boolean value) {
+        ignoresTreatments = value;
     }
 
-    List<Started> started() {
-        return started;
+    List<StartRecord> starts() {
+        return starts;
     }
 
     /** Goes down; everything on it ends. */
     void crash() {
         up = false;
-        held.clear();
+        reservations.clear();
         running.clear();
-        known.clear();
+        closedKeys.clear();
     }
 
     int incarnation() {
@@ -82,52 +82,52 @@
     }
 
     /** Refuses callers of an older epoch; a newer one ends what was only held. */
-    boolean rules(long caller) {
-        if (caller > epoch) {
-            epoch = caller;
-            held.clear();
+    boolean acceptEpoch(long callerEpoch) {
+        if (callerEpoch > epoch) {
+            epoch = callerEpoch;
+            reservations.clear();
         }
-        return up && caller == epoch;
+        return up && callerEpoch == epoch;
     }
 
     boolean reserve(String key, int units, long now, long until) {
-        held.values().removeIf(hold -> hold.until() < now);
-        if (known.contains(key) || inUse() + units > target.accelerators()) {
+        reservations.values().removeIf(reservation -> reservation.until() < now);
+        if (closedKeys.contains(key) || inUse() + units > target.accelerators()) {
             return false;
         }
-        held.put(key, new Hold(units, until));
+        reservations.put(key, new Reservation(units, until));
         return true;
     }
 
     /** Gives a place up for good, also if the reservation arrives later. */
     void release(String key) {
-        known.add(key);
-        held.remove(key);
+        closedKeys.add(key);
+        reservations.remove(key);
     }
 
     /** Starts a task unless it is late, known or does not fit; returns whether it runs now for the first time. */
     boolean start(Command.Start start, long now) {
-        String key = key(
+        String key = memberKey(
                 start.request().id(), start.attempt().number(), start.member().index());
-        held.values().removeIf(other -> other.until() < now);
-        Hold hold = held.remove(key);
-        boolean fits = hold != null || inUse() + start.member().units() <= target.accelerators();
-        if (now >= start.attempt().startBefore() || !fits || !known.add(key)) {
+        reservations.values().removeIf(r -> r.until() < now);
+        Reservation reservation = reservations.remove(key);
+        boolean fits = reservation != null || inUse() + start.member().units() <= target.accelerators();
+        if (now >= start.attempt().startBefore() || !fits || !closedKeys.add(key)) {
             return false;
         }
         running.put(key, start.member().units());
-        started.add(new Started(
+        starts.add(new StartRecord(
                 start.request().id(), start.attempt().number(), start.member().index(), now));
         return true;
     }
 
     /** Refuses the task for good if it was not started yet; returns whether that is so. */
-    boolean refuse(String key) {
-        held.remove(key);
-        return known.add(key);
+    boolean refuseIfNotStarted(String key) {
+        reservations.remove(key);
+        return closedKeys.add(key);
     }
 
-    Set<String> running() {
+    Set<String> runningKeys() {
         return new TreeSet<>(running.keySet());
     }
 
@@ -140,11 +140,11 @@
     }
 
     private int inUse() {
-        return held.values().stream().mapToInt(Hold::units).sum()
+        return reservations.values().stream().mapToInt(Reservation::units).sum()
                 + running.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    static String key(String request, long attempt, int member) {
+    static String memberKey(String request, long attempt, int member) {
         return request + '#' + attempt + '#' + member;
     }
 }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/GuaranteeTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/GuaranteeTest.java
@@ -14,36 +14,37 @@
     private static final long LONG_RUN_MILLIS = 50_000;
 
     /** Longest time for messages between the steps of one start, in milliseconds. */
-    private static final long MESSAGES_MILLIS = 500;
+    private static final long MESSAGE_DELAY_ALLOWANCE_MILLIS = 500;
 
     @Test
     void claimIsMadeAtOnceAndMetWithinTheBoundInKigali() throws Exception {
-        claimIsMet("kigali", "proof", "toolpath");
+        assertClaimIsMet("kigali", "proof", "toolpath");
     }
 
     @Test
     void claimIsMadeAtOnceAndMetWithinTheBoundInDkVest() throws Exception {
-        claimIsMet("dk-vest", "travel-plan", "booking");
+        assertClaimIsMet("dk-vest", "travel-plan", "booking");
     }
 
-    private static void claimIsMet(String deployment, String lent, String claimed) throws Exception {
+    private static void assertClaimIsMet(String deployment, String borrowingProfile, String claimingProfile)
+            throws Exception {
         Configuration configuration = Deployments.read(ROOT, deployment);
-        CellDriver driver =
-                new CellDriver(7, configuration, Deployments.first(configuration), Policy.STANDARD, new Rules());
-        Profile small = configuration.profile(lent).orElseThrow();
+        CellSimulation simulation = new CellSimulation(
+                7, configuration, Deployments.firstDataCentre(configuration), Policy.STANDARD, new Rules());
+        Profile borrower = configuration.profile(borrowingProfile).orElseThrow();
         for (int i = 0; i < 400; i++) {
-            driver.submit(configuration.accounts().get(0).name(), small, LONG_RUN_MILLIS);
+            simulation.submit(configuration.accounts().get(0).name(), borrower, LONG_RUN_MILLIS);
         }
-        driver.advance(driver.now() + 5_000);
-        Fleet full = driver.state().fleet();
-        assertThat(full.largestFree()).isEqualTo(0);
-
-        Profile gang = configuration.profile(claimed).orElseThrow();
-        String request = driver.submit(configuration.accounts().get(1).name(), gang, LONG_RUN_MILLIS);
-        Phase first = driver.state().job(request).orElseThrow().phase();
-        assertThat(first).isInstanceOf(Phase.Claiming.class);
-        driver.advance(driver.now() + Policy.STANDARD.maxReclaimMillis() + MESSAGES_MILLIS);
-        assertWithMessage("violations").that(driver.violations()).isEmpty();
-        assertThat(driver.state().job(request).orElseThrow().phase()).isInstanceOf(Phase.Running.class);
+        simulation.advance(simulation.now() + 5_000);
+        Fleet fleet = simulation.state().fleet();
+        assertThat(fleet.largestFree()).isEqualTo(0);
+
+        Profile gang = configuration.profile(claimingProfile).orElseThrow();
+        String request = simulation.submit(configuration.accounts().get(1).name(), gang, LONG_RUN_MILLIS);
+        Phase initialPhase = simulation.state().job(request).orElseThrow().phase();
+        assertThat(initialPhase).isInstanceOf(Phase.Claiming.class);
+        simulation.advance(simulation.now() + Policy.STANDARD.maxReclaimMillis() + MESSAGE_DELAY_ALLOWANCE_MILLIS);
+        assertWithMessage("violations").that(simulation.violations()).isEmpty();
+        assertThat(simulation.state().job(request).orElseThrow().phase()).isInstanceOf(Phase.Running.class);
     }
 }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/MeasureMain.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/MeasureMain.java
@@ -21,24 +21,24 @@
  * minutes, all submit previews, and a large job is always waiting. The data centre is out for a minute half-way.
  */
 final class MeasureMain {
-    private static final long MINUTE = 60_000;
-    private static final long MINUTES = 60;
-    private static final long SETTLE_MILLIS = 3_600_000;
+    private static final long MINUTE_MILLIS = 60_000;
+    private static final long LOAD_MINUTES = 60;
+    private static final long MAX_SETTLE_MILLIS = 3_600_000;
 
-    private final CellDriver driver;
+    private final CellSimulation simulation;
     private final RandomGenerator random;
     private final Configuration configuration;
-    private final Map<String, String> kinds = new TreeMap<>();
-    private double fragmentation;
-    private int samples;
-    private long busyDuringReturn;
-    private long possibleDuringReturn;
+    private final Map<String, String> kindByRequest = new TreeMap<>();
+    private double fragmentationSum;
+    private int fragmentationSamples;
+    private long usedUnitsAfterReturn;
+    private long capacityAfterReturn;
 
-    private MeasureMain(Baseline baseline, long seed, Configuration configuration) {
+    private MeasureMain(RuleSet ruleSet, long seed, Configuration configuration) {
         this.configuration = configuration;
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        driver = new CellDriver(
-                seed, configuration, Deployments.first(configuration), Policy.STANDARD, baseline.rules());
+        simulation = new CellSimulation(
+                seed, configuration, Deployments.firstDataCentre(configuration), Policy.STANDARD, ruleSet.rules());
     }
 
     public static void main(String[] arguments) throws Exception {
@@ -48,37 +48,37 @@
         Namespace parsed = parser.parseArgsOrFail(arguments);
         Configuration configuration = Deployments.read(Path.of("."), parsed.getString("deployment"));
         System.out.println("deployment " + parsed.getString("deployment") + " seed " + parsed.getLong("seed"));
-        for (Baseline baseline : Baseline.values()) {
-            MeasureMain run = new MeasureMain(baseline, parsed.getLong("seed"), configuration);
-            run.load();
-            run.print(baseline);
+        for (RuleSet ruleSet : RuleSet.values()) {
+            MeasureMain measurement = new MeasureMain(ruleSet, parsed.getLong("seed"), configuration);
+            measurement.runLoad();
+            measurement.printResults(ruleSet);
         }
     }
 
-    private void load() {
-        driver.goOnAfterViolations();
-        long start = driver.now();
-        for (long second = 0; second < MINUTES * 60; second++) {
-            second(second);
-            driver.advance(start + (second + 1) * 1_000);
-            sample(second);
+    private void runLoad() {
+        simulation.continueAfterViolations();
+        long start = simulation.now();
+        for (long second = 0; second < LOAD_MINUTES * 60; second++) {
+            submitLoadOfSecond(second);
+            simulation.advance(start + (second + 1) * 1_000);
+            sampleUsage(second);
         }
-        driver.settle(SETTLE_MILLIS);
+        simulation.settle(MAX_SETTLE_MILLIS);
     }
 
-    private void second(long second) {
-        String flood = configuration.accounts().get(0).name();
-        String rare = configuration.accounts().get(1).name();
+    private void submitLoadOfSecond(long second) {
+        String busyAccount = configuration.accounts().get(0).name();
+        String occasionalAccount = configuration.accounts().get(1).name();
         Profile preview = profile(0);
         Profile small = profile(1);
         Profile gang = profile(2);
         Profile large = profile(3);
         for (int i = 0; i < 3; i++) {
-            submit(flood, small, "small", random.nextLong(10_000, 40_000));
+            submit(busyAccount, small, "small", random.nextLong(10_000, 40_000));
         }
         if (second % 300 == 100) {
             for (int i = 0; i < 200; i++) {
-                submit(flood, small, "small", random.nextLong(5_000, 30_000));
+                submit(busyAccount, small, "small", random.nextLong(5_000, 30_000));
             }
         }
         submit(
@@ -87,19 +87,19 @@
                 "preview",
                 random.nextLong(200, 1_500));
         if (second % 240 == 150) {
-            submit(rare, gang, "claim", random.nextLong(10_000, 30_000));
+            submit(occasionalAccount, gang, "claim", random.nextLong(10_000, 30_000));
         }
         if (second % 20 == 0) {
-            submit(flood, gang, "gang", random.nextLong(5_000, 30_000));
+            submit(busyAccount, gang, "gang", random.nextLong(5_000, 30_000));
         }
         if (second % 300 == 0) {
-            submit(rare, large, "large", random.nextLong(10_000, 30_000));
+            submit(occasionalAccount, large, "large", random.nextLong(10_000, 30_000));
         }
-        if (second == MINUTES * 30) {
-            driver.takeOut(true);
+        if (second == LOAD_MINUTES * 30) {
+            simulation.setOutOfService(true);
         }
-        if (second == MINUTES * 30 + 60) {
-            driver.takeOut(false);
+        if (second == LOAD_MINUTES * 30 + 60) {
+            simulation.setOutOfService(false);
         }
     }
 
@@ -108,49 +108,49 @@
     }
 
     private void submit(String account, Profile profile, String kind, long runMillis) {
-        kinds.put(driver.submit(account, profile, runMillis), kind);
+        kindByRequest.put(simulation.submit(account, profile, runMillis), kind);
     }
 
-    private void sample(long second) {
-        Fleet fleet = driver.state().fleet();
+    private void sampleUsage(long second) {
+        Fleet fleet = simulation.state().fleet();
         int capacity = fleet.targets().values().stream()
                 .mapToInt(TargetState::capacity)
                 .sum();
         int used = fleet.used();
         if (used < capacity) {
-            int whole = fleet.targets().values().stream()
+            int onEmptyTargets = fleet.targets().values().stream()
                     .filter(t -> t.load().used() == 0)
                     .mapToInt(TargetState::capacity)
                     .sum();
-            fragmentation += 1 - (double) whole / (capacity - used);
-            samples++;
+            fragmentationSum += 1 - (double) onEmptyTargets / (capacity - used);
+            fragmentationSamples++;
         }
-        long back = MINUTES * 30 + 60;
-        if (second >= back && second < back + 60) {
-            busyDuringReturn += used;
-            possibleDuringReturn += capacity;
+        long backInServiceSecond = LOAD_MINUTES * 30 + 60;
+        if (second >= backInServiceSecond && second < backInServiceSecond + 60) {
+            usedUnitsAfterReturn += used;
+            capacityAfterReturn += capacity;
         }
     }
 
-    private void print(Baseline baseline) {
-        System.out.printf("%n%s%n", baseline);
-        Map<Violation.Invariant, Integer> broken = new TreeMap<>();
-        driver.violations().forEach(v -> broken.merge(v.invariant(), 1, Integer::sum));
-        System.out.println("  checks that failed: " + broken);
-        driver.violations().stream().limit(1).forEach(v -> System.out.println("  first: " + v));
+    private void printResults(RuleSet ruleSet) {
+        System.out.printf("%n%s%n", ruleSet);
+        Map<Violation.Invariant, Integer> violationCounts = new TreeMap<>();
+        simulation.violations().forEach(v -> violationCounts.merge(v.invariant(), 1, Integer::sum));
+        System.out.println("  checks that failed: " + violationCounts);
+        simulation.violations().stream().limit(1).forEach(v -> System.out.println("  first: " + v));
         System.out.printf(
                 "  %-8s %7s %7s %9s %9s %9s %9s%n", "kind", "number", "done", "p50 s", "p90 s", "p99 s", "max s");
         for (String kind : new String[] {"preview", "small", "gang", "claim", "large"}) {
             Histogram histogram = new Histogram(3);
-            int number = 0;
+            int submitted = 0;
             int done = 0;
-            for (Map.Entry<String, Request> entry : driver.accepted().entrySet()) {
-                if (!kinds.get(entry.getKey()).equals(kind)) {
+            for (Map.Entry<String, Request> entry : simulation.accepted().entrySet()) {
+                if (!kindByRequest.get(entry.getKey()).equals(kind)) {
                     continue;
                 }
-                number++;
-                long millis = driver.completion(entry.getKey());
-                boolean finished = driver.answers().get(entry.getKey()) instanceof Outcome.Done;
+                submitted++;
+                long millis = simulation.completionMillis(entry.getKey());
+                boolean finished = simulation.answers().get(entry.getKey()) instanceof Outcome.Done;
                 done += finished ? 1 : 0;
                 if (finished) {
                     histogram.recordValue(millis);
@@ -159,7 +159,7 @@
             System.out.printf(
                     "  %-8s %7d %7d %9.2f %9.2f %9.2f %9.2f%n",
                     kind,
-                    number,
+                    submitted,
                     done,
                     histogram.getValueAtPercentile(50) / 1e3,
                     histogram.getValueAtPercentile(90) / 1e3,
@@ -167,9 +167,10 @@
                     histogram.getMaxValue() / 1e3);
         }
         System.out.printf(
-                "  free accelerators not on empty targets: %.0f%%%n", 100 * fragmentation / Math.max(1, samples));
+                "  free accelerators not on empty targets: %.0f%%%n",
+                100 * fragmentationSum / Math.max(1, fragmentationSamples));
         System.out.printf(
                 "  accelerators in use in the minute after the return: %.0f%%%n",
-                100.0 * busyDuringReturn / Math.max(1, possibleDuringReturn));
+                100.0 * usedUnitsAfterReturn / Math.max(1, capacityAfterReturn));
     }
 }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
@@ -15,12 +15,12 @@
 /** Each rule is left out in turn; the invariant that it serves must notice, and must not without the change. */
 final class MissingRuleTest {
     private static final Path ROOT = Path.of("..");
-    private static final long STEPS = 10_000;
-    private static final int SEEDS = 60;
+    private static final long STEPS_PER_SEED = 10_000;
+    private static final int MAX_SEEDS = 60;
 
     @Test
-    void placingBeyondCapacityIsNoticed() throws Exception {
-        noticed(Invariant.CAPACITY, new Rules() {
+    void placingBeyondCapacityIsDetected() throws Exception {
+        assertDetected(Invariant.CAPACITY, new Rules() {
             @Override
             boolean fits(TargetState target, int units) {
                 return true;
@@ -29,8 +29,8 @@
     }
 
     @Test
-    void takingWhatOthersOwnIsNoticed() throws Exception {
-        noticed(Invariant.GUARANTEE, new Rules() {
+    void placingIrrevocableWorkOnGuaranteedUnitsIsDetected() throws Exception {
+        assertDetected(Invariant.GUARANTEE, new Rules() {
             @Override
             boolean preservesGuarantees(TargetState target, String account, int units) {
                 return true;
@@ -39,8 +39,8 @@
     }
 
     @Test
-    void notTakingWorkOffForClaimsIsNoticed() throws Exception {
-        noticed(Invariant.RECLAIM_BOUND, new Rules() {
+    void notPreemptingForClaimsIsDetected() throws Exception {
+        assertDetected(Invariant.RECLAIM_BOUND, new Rules() {
             @Override
             boolean preemptionEnabled() {
                 return false;
@@ -49,8 +49,8 @@
     }
 
     @Test
-    void lendingSetAsidePlacesForeverIsNoticed() throws Exception {
-        noticed(Invariant.LARGE_JOB_BOUND, new Rules() {
+    void backfillingBeyondTheDeadlineIsDetected() throws Exception {
+        assertDetected(Invariant.LARGE_JOB_BOUND, new Rules() {
             @Override
             boolean mayBackfill(boolean drainBlocked, boolean endsInTime) {
                 return true;
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void startingGangsWithoutReservationsIsNoticed() throws Exception {
-        noticed(Invariant.GANG_WHOLE, new Rules() {
+    void startingGangsWithoutReservationsIsDetected() throws Exception {
+        assertDetected(Invariant.GANG_WHOLE, new Rules() {
             @Override
             boolean requiresReservation(Profile profile) {
                 return false;
@@ -69,8 +69,8 @@
     }
 
     @Test
-    void leavingBrokenGangsRunningIsNoticed() throws Exception {
-        noticed(Invariant.GANG_WHOLE, new Rules() {
+    void leavingPartialGangsRunningIsDetected() throws Exception {
+        assertDetected(Invariant.GANG_WHOLE, new Rules() {
             @Override
             boolean stopsPartialGangs() {
                 return false;
@@ -79,8 +79,8 @@
     }
 
     @Test
-    void startingWithoutAPermitIsNoticed() throws Exception {
-        noticed(Invariant.PERMIT, new Rules() {
+    void startingWithoutAPermitIsDetected() throws Exception {
+        assertDetected(Invariant.PERMIT, new Rules() {
             @Override
             boolean mayStart(CellState state, StartGate gate, long now) {
                 return true;
@@ -89,8 +89,8 @@
     }
 
     @Test
-    void startingOnLeavingTargetsIsNoticed() throws Exception {
-        noticed(Invariant.LEAVING, new Rules() {
+    void startingOnLeavingTargetsIsDetected() throws Exception {
+        assertDetected(Invariant.LEAVING, new Rules() {
             @Override
             boolean appliesLeavingList() {
                 return false;
@@ -100,19 +100,19 @@
 
     /** The log refuses a second intent, so both have to be missing. */
     @Test
-    void runningNonIdempotentWorkAgainIsNoticed() throws Exception {
+    void runningNonIdempotentWorkAgainIsDetected() throws Exception {
         Rules rules = new Rules() {
             @Override
             boolean mayRunAgain(Job job) {
                 return true;
             }
         };
-        noticed(Invariant.AT_MOST_ONCE, rules, CellDriver::letLogTakeAnything);
+        assertDetected(Invariant.AT_MOST_ONCE, rules, CellSimulation::acceptDuplicateIntents);
     }
 
     @Test
-    void startingWithoutAnIntentIsNoticed() throws Exception {
-        noticed(Invariant.AT_MOST_ONCE, new Rules() {
+    void startingWithoutAnIntentIsDetected() throws Exception {
+        assertDetected(Invariant.AT_MOST_ONCE, new Rules() {
             @Override
             boolean requiresIntent(Profile profile) {
                 return false;
@@ -121,8 +121,8 @@
     }
 
     @Test
-    void ignoringPrecedenceIsNoticed() throws Exception {
-        noticed(Invariant.PRECEDENCE, new Rules() {
+    void ignoringPrecedenceIsDetected() throws Exception {
+        assertDetected(Invariant.PRECEDENCE, new Rules() {
             @Override
             boolean waitsFor(Profile profile, Profile other) {
                 return false;
@@ -131,8 +131,8 @@
     }
 
     @Test
-    void claimingThatStartedWorkDidNotRunIsNoticed() throws Exception {
-        noticed(Invariant.NOT_RUN_TRUE, new Rules() {
+    void answeringStartedWorkAsNotRunIsDetected() throws Exception {
+        assertDetected(Invariant.NOT_RUN_TRUE, new Rules() {
             @Override
             boolean neverStarted(Job job) {
                 return true;
@@ -141,8 +141,8 @@
     }
 
     @Test
-    void goingBackToAnOlderRevisionIsNoticed() throws Exception {
-        noticed(Invariant.REVISION, new Rules() {
+    void applyingAnOlderRevisionIsDetected() throws Exception {
+        assertDetected(Invariant.REVISION, new Rules() {
             @Override
             boolean replaces(ActiveConfiguration next, ActiveConfiguration previous) {
                 return true;
@@ -150,24 +150,28 @@
         });
     }
 
-    private static void noticed(Invariant invariant, Rules rules) throws Exception {
-        noticed(invariant, rules, driver -> {});
+    private static void assertDetected(Invariant invariant, Rules rules) throws Exception {
+        assertDetected(invariant, rules, simulation -> {});
     }
 
-    private static void noticed(Invariant invariant, Rules rules, Consumer<CellDriver> change) throws Exception {
+    private static void assertDetected(Invariant invariant, Rules rules, Consumer<CellSimulation> setup)
+            throws Exception {
         Configuration configuration = Deployments.read(ROOT, "kigali");
-        List<String> seen = new ArrayList<>();
-        for (long seed = 1; seed <= SEEDS; seed++) {
-            CellDriver driver =
-                    new CellDriver(seed, configuration, Deployments.first(configuration), Policy.STANDARD, rules);
-            change.accept(driver);
-            driver.run(STEPS, SoakMain.weights());
-            driver.violations().forEach(v -> seen.add(v.invariant().name()));
-            if (seen.contains(invariant.name())) {
-                System.out.println(invariant + " noticed with seed " + seed + " after " + driver.steps() + " steps");
+        List<String> violatedInvariants = new ArrayList<>();
+        for (long seed = 1; seed <= MAX_SEEDS; seed++) {
+            CellSimulation simulation = new CellSimulation(
+                    seed, configuration, Deployments.firstDataCentre(configuration), Policy.STANDARD, rules);
+            setup.accept(simulation);
+            simulation.run(STEPS_PER_SEED, SoakMain.defaultWeights());
+            simulation
+                    .violations()
+                    .forEach(v -> violatedInvariants.add(v.invariant().name()));
+            if (violatedInvariants.contains(invariant.name())) {
+                System.out.println(
+                        invariant + " noticed with seed " + seed + " after " + simulation.steps() + " steps");
                 return;
             }
         }
-        assertWithMessage("invariants noticed").that(seen).contains(invariant.name());
+        assertWithMessage("invariants noticed").that(violatedInvariants).contains(invariant.name());
     }
 }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/RandomisedRunsTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/RandomisedRunsTest.java
@@ -19,24 +19,24 @@
 /** Randomised runs with any mix of faults, at least 200,000 decisions in all, every one checked. */
 final class RandomisedRunsTest {
     private static final Path ROOT = Path.of("..");
-    private static final long STEPS = 8_000;
-    private static final long SETTLE_MILLIS = 7_200_000;
-    private static final int TRIES = 14;
+    private static final long STEPS_PER_RUN = 8_000;
+    private static final long MAX_SETTLE_MILLIS = 7_200_000;
+    private static final int RUNS_PER_DEPLOYMENT = 14;
 
-    @Property(tries = TRIES, seed = "20261204", shrinking = ShrinkingMode.OFF)
-    void kigaliKeepsItsPromises(@ForAll long seed, @ForAll("faults") Set<Fault> left) throws Exception {
-        check("kigali", seed, left);
+    @Property(tries = RUNS_PER_DEPLOYMENT, seed = "20261204", shrinking = ShrinkingMode.OFF)
+    void kigaliKeepsInvariants(@ForAll long seed, @ForAll("faults") Set<Fault> disabledFaults) throws Exception {
+        assertInvariantsHold("kigali", seed, disabledFaults);
     }
 
-    @Property(tries = TRIES, seed = "20261205", shrinking = ShrinkingMode.OFF)
-    void dkVestKeepsItsPromises(@ForAll long seed, @ForAll("faults") Set<Fault> left) throws Exception {
-        check("dk-vest", seed, left);
+    @Property(tries = RUNS_PER_DEPLOYMENT, seed = "20261205", shrinking = ShrinkingMode.OFF)
+    void dkVestKeepsInvariants(@ForAll long seed, @ForAll("faults") Set<Fault> disabledFaults) throws Exception {
+        assertInvariantsHold("dk-vest", seed, disabledFaults);
     }
 
     @Property(tries = 2, seed = "20261206", shrinking = ShrinkingMode.OFF)
-    void theSameSeedGivesTheSameRun(@ForAll long seed) throws Exception {
-        assertThat(run("kigali", seed, Set.of()).digest())
-                .isEqualTo(run("kigali", seed, Set.of()).digest());
+    void sameSeedGivesSameRun(@ForAll long seed) throws Exception {
+        assertThat(simulate("kigali", seed, Set.of()).digest())
+                .isEqualTo(simulate("kigali", seed, Set.of()).digest());
     }
 
     @Provide
@@ -44,24 +44,26 @@
         return Arbitraries.of(Fault.values()).set().ofMaxSize(Fault.values().length / 2);
     }
 
-    private static void check(String deployment, long seed, Set<Fault> left) throws Exception {
-        CellDriver driver = run(deployment, seed, left);
-        String run = deployment + " seed " + seed + " without " + left;
-        assertWithMessage(run).that(driver.violations()).isEmpty();
-        driver.settle(SETTLE_MILLIS);
-        assertWithMessage(run + " settling").that(driver.violations()).isEmpty();
-        Set<String> unanswered = new TreeSet<>(driver.accepted().keySet());
-        unanswered.removeAll(driver.answers().keySet());
-        assertWithMessage(run + " unanswered").that(unanswered).isEmpty();
+    private static void assertInvariantsHold(String deployment, long seed, Set<Fault> disabledFaults) throws Exception {
+        CellSimulation simulation = simulate(deployment, seed, disabledFaults);
+        String description = deployment + " seed " + seed + " without " + disabledFaults;
+        assertWithMessage(description).that(simulation.violations()).isEmpty();
+        simulation.settle(MAX_SETTLE_MILLIS);
+        assertWithMessage(description + " settling")
+                .that(simulation.violations())
+                .isEmpty();
+        Set<String> unanswered = new TreeSet<>(simulation.accepted().keySet());
+        unanswered.removeAll(simulation.answers().keySet());
+        assertWithMessage(description + " unanswered").that(unanswered).isEmpty();
     }
 
-    private static CellDriver run(String deployment, long seed, Set<Fault> left) throws Exception {
+    private static CellSimulation simulate(String deployment, long seed, Set<Fault> disabledFaults) throws Exception {
         Configuration configuration = Deployments.read(ROOT, deployment);
-        CellDriver driver =
-                new CellDriver(seed, configuration, Deployments.first(configuration), Policy.STANDARD, new Rules());
-        Map<Fault, Integer> weights = new EnumMap<>(SoakMain.weights());
-        left.stream().filter(fault -> fault != Fault.SUBMIT).forEach(weights::remove);
-        driver.run(STEPS, weights);
-        return driver;
+        CellSimulation simulation = new CellSimulation(
+                seed, configuration, Deployments.firstDataCentre(configuration), Policy.STANDARD, new Rules());
+        Map<Fault, Integer> weights = new EnumMap<>(SoakMain.defaultWeights());
+        disabledFaults.stream().filter(fault -> fault != Fault.SUBMIT).forEach(weights::remove);
+        simulation.run(STEPS_PER_RUN, weights);
+        return simulation;
     }
 }
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/Baseline.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/RuleSet.java
@@ -3,7 +3,7 @@
 import org.acaciaport.config.Profile;
 
 /** Simpler ways to decide, to measure against. */
-enum Baseline {
+enum RuleSet {
     /** The rules that the programs use. */
     ACACIAPORT(new Rules()),
     /** Arrival order over all accounts, the first place that fits, nothing taken back. */
@@ -68,7 +68,7 @@
 
     private final Rules rules;
 
-    Baseline(Rules rules) {
+    RuleSet(Rules rules) {
         this.rules = rules;
     }
 
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/SoakMain.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/SoakMain.java
@@ -11,7 +11,7 @@
 
 /** One long randomised run from the command line. */
 final class SoakMain {
-    private static final long SETTLE_MILLIS = 7_200_000;
+    private static final long MAX_SETTLE_MILLIS = 7_200_000;
 
     private SoakMain() {}
 
@@ -23,18 +23,22 @@
         parser.addArgument("--without").nargs("*").type(Fault.class).setDefault(List.of());
         Namespace parsed = parser.parseArgsOrFail(arguments);
         Configuration configuration = Deployments.read(Path.of("."), parsed.getString("deployment"));
-        CellDriver driver = new CellDriver(
-                parsed.getLong("seed"), configuration, Deployments.first(configuration), Policy.STANDARD, new Rules());
-        Map<Fault, Integer> weights = weights();
+        CellSimulation simulation = new CellSimulation(
+                parsed.getLong("seed"),
+                configuration,
+                Deployments.firstDataCentre(configuration),
+                Policy.STANDARD,
+                new Rules());
+        Map<Fault, Integer> weights = defaultWeights();
         parsed.<Fault>getList("without").forEach(weights::remove);
-        driver.run(parsed.getLong("steps"), weights);
-        driver.settle(SETTLE_MILLIS);
-        print(parsed, driver);
-        int unanswered = driver.accepted().size() - driver.answers().size();
-        System.exit(driver.violations().isEmpty() && unanswered == 0 ? 0 : 1);
+        simulation.run(parsed.getLong("steps"), weights);
+        simulation.settle(MAX_SETTLE_MILLIS);
+        printResults(parsed, simulation);
+        int unanswered = simulation.accepted().size() - simulation.answers().size();
+        System.exit(simulation.violations().isEmpty() && unanswered == 0 ? 0 : 1);
     }
 
-    static Map<Fault, Integer> weights() {
+    static Map<Fault, Integer> defaultWeights() {
         Map<Fault, Integer> weights = new TreeMap<>();
         for (Fault fault : Fault.values()) {
             weights.put(fault, fault.weight());
@@ -42,28 +46,28 @@
         return weights;
     }
 
-    private static void print(Namespace parsed, CellDriver driver) {
+    private static void printResults(Namespace parsed, CellSimulation simulation) {
         Map<String, Integer> outcomes = new TreeMap<>();
-        driver.answers().values().forEach(o -> outcomes.merge(o.word(), 1, Integer::sum));
+        simulation.answers().values().forEach(o -> outcomes.merge(o.word(), 1, Integer::sum));
         System.out.println("deployment " + parsed.getString("deployment") + " seed " + parsed.getLong("seed"));
-        System.out.println("steps      " + driver.steps());
-        System.out.println("faults     " + driver.faults());
-        System.out.println("requests   " + driver.accepted().size() + " answers " + outcomes);
-        System.out.println("checks     " + driver.checks());
-        System.out.println("digest     " + driver.digest());
-        System.out.println("violations " + driver.violations().size());
-        driver.accepted().keySet().stream()
-                .filter(id -> !driver.answers().containsKey(id))
+        System.out.println("steps      " + simulation.steps());
+        System.out.println("faults     " + simulation.faults());
+        System.out.println("requests   " + simulation.accepted().size() + " answers " + outcomes);
+        System.out.println("checks     " + simulation.checks());
+        System.out.println("digest     " + simulation.digest());
+        System.out.println("violations " + simulation.violations().size());
+        simulation.accepted().keySet().stream()
+                .filter(id -> !simulation.answers().containsKey(id))
                 .limit(5)
                 .forEach(id -> System.out.println(
-                        "unanswered " + id + " " + driver.state().job(id).orElse(null)));
-        driver.targets().values().stream()
-                .filter(t -> !t.running().isEmpty())
-                .forEach(t -> System.out.println("left on    " + t.id() + " " + t.running()));
-        if (!driver.violations().isEmpty()
-                || driver.answers().size() < driver.accepted().size()) {
-            driver.violations().forEach(v -> System.out.println("violation  " + v));
-            driver.trace().forEach(line -> System.out.println("trace      " + line));
+                        "unanswered " + id + " " + simulation.state().job(id).orElse(null)));
+        simulation.targets().values().stream()
+                .filter(t -> !t.runningKeys().isEmpty())
+                .forEach(t -> System.out.println("left on    " + t.id() + " " + t.runningKeys()));
+        if (!simulation.violations().isEmpty()
+                || simulation.answers().size() < simulation.accepted().size()) {
+            simulation.violations().forEach(v -> System.out.println("violation  " + v));
+            simulation.trace().forEach(line -> System.out.println("trace      " + line));
         }
     }
 }
