--- a/acacia-proofs/src/test/java/org/acaciaport/decision/CellSimulation.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/CellSimulation.java
@@ -28,17 +28,19 @@
 import org.acaciaport.request.Request;
 
 /**
- * Drives the decisions of one data centre in virtual time, with fakes for its targets and the log, and checks every
- * decision. The same seed gives the same run.
+ * A deterministic simulation of one data centre: a real decider with fake targets, a fake log and injected faults.
+ *
+ * <p>All times are virtual, in milliseconds. Every decision is checked against {@link Invariants} and
+ * {@link ExternalInvariants}. The same seed and the same calls give the same run. Not thread-safe.
  */
 final class CellSimulation {
     private static final long PERMIT_DURATION_MILLIS = 3_000;
-    private static final long PERMIT_RENEWAL_MILLIS = 500;
+    private static final long PERMIT_RENEWAL_INTERVAL_MILLIS = 500;
     private static final long AUDIT_INTERVAL_STEPS = 256;
-    private static final long RESERVATION_HOLD_MILLIS = 2_000;
+    private static final long RESERVATION_HOLD_MILLIS = 2_000; // beyond the deadline of the answer
     private static final int TRACE_LINES = 80;
 
-    /** Something that happens later. */
+    /** An action due at time {@code at}; {@code sequence} orders actions that are due at the same time. */
     private record ScheduledAction(long at, long sequence, Runnable action) {}
 
     private final RandomGenerator random;
@@ -50,11 +52,11 @@
     private final Map<String, Request> accepted = new LinkedHashMap<>();
     private final Map<String, Outcome> answers = new LinkedHashMap<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
-    private final Map<String, Attempt> intents = new HashMap<>();
+    private final Map<String, Attempt> intents = new HashMap<>(); // recorded on the log and not voided
     private final Map<String, Long> lastArrivalByTarget = new HashMap<>();
     private final Set<String> checkpointed = new HashSet<>();
     private final ArrayDeque<Runnable> pendingRecords = new ArrayDeque<>();
-    private final Set<String> failing = new HashSet<>();
+    private final Set<String> failing = new HashSet<>(); // requests that fail on any target
     private final List<Violation> violations = new ArrayList<>();
     private final EnumMap<Fault, Integer> faults = new EnumMap<>(Fault.class);
     private final ArrayDeque<String> trace = new ArrayDeque<>();
@@ -62,13 +64,13 @@
     private final ExternalInvariants externalInvariants = new ExternalInvariants(targets, answers, violations);
     private Invariants invariants;
     private CellState state;
-    private ActiveConfiguration active;
+    private ActiveConfiguration active; // the latest that was published
     private final Configuration original;
     private long epoch = 1;
     private long now = 1_000_000;
     private long nextSequence;
     private long steps;
-    private long earlierChecks;
+    private long earlierChecks; // by the invariants of earlier leaders
     private long pausedUntil;
     private long submitted;
     private boolean stopsAtViolations = true;
@@ -125,7 +127,7 @@
         return accepted;
     }
 
-    /** Returns how long the request waited for its answer, in milliseconds, or -1. */
+    /** Returns the time from acceptance of {@code request} to its answer in milliseconds, or -1 if not yet answered. */
     long completionMillis(String request) {
         return answeredAt.containsKey(request)
                 ? answeredAt.get(request) - accepted.get(request).acceptedAt()
@@ -144,7 +146,7 @@
         return trace;
     }
 
-    /** Goes on after a violation, to measure policies that break promises. */
+    /** Makes runs continue after a violation, to measure rule sets that violate invariants. */
     void continueAfterViolations() {
         stopsAtViolations = false;
     }
@@ -153,12 +155,12 @@
         return !stopsAtViolations || violations.isEmpty();
     }
 
-    /** Makes the log take every intent, also a second one for a request. */
+    /** Makes the log record a second intent for a request, so that only the rules prevent a second run. */
     void acceptDuplicateIntents() {
         logRejectsDuplicateIntents = false;
     }
 
-    /** Runs until {@code decisions} more decisions are made or a violation is found. */
+    /** Injects faults drawn by {@code weights} until {@code decisions} more are made or a violation is found. */
     void run(long decisions, Map<Fault, Integer> weights) {
         long end = steps + decisions;
         int total = weights.values().stream().mapToInt(Integer::intValue).sum();
@@ -168,7 +170,7 @@
         }
     }
 
-    /** Ends all faults and runs until every request is answered or {@code maxMillis} have passed. */
+    /** Ends all faults and runs until all requests are answered, {@code maxMillis} pass or a violation is found. */
     void settle(long maxMillis) {
         targets.values().forEach(t -> {
             t.setFailsAll(false);
@@ -191,7 +193,7 @@
         }
     }
 
-    /** Submits one request of {@code profile} that truly runs for {@code runMillis}. */
+    /** Submits a request whose members run for {@code runMillis} once started, and returns its identifier. */
     String submit(String account, Profile profile, long runMillis) {
         String id = "r" + ++submitted;
         Request request = new Request(
@@ -201,7 +203,7 @@
         return id;
     }
 
-    /** Passes time until {@code until}, with everything that happens meanwhile. */
+    /** Advances the time to {@code until}, running the actions and timers that fall due. */
     void advance(long until) {
         while (shouldContinue()) {
             long timer = Math.max(state.nextTimerAt().orElse(Long.MAX_VALUE), pausedUntil);
@@ -267,7 +269,7 @@
         }
     }
 
-    /** Gives a later revision to the scheduler; an unreachable log delays it. */
+    /** Publishes a revision, which reaches the scheduler after a delay if the log is available, or else without. */
     private void publishConfiguration(ActiveConfiguration next) {
         active = next;
         schedule(logAvailable ? random.nextLong(5, 200) : 0, () -> handle(new Event.Configured(next)));
@@ -334,6 +336,7 @@
         }
     }
 
+    /** Submits a random request, mostly of the first account; 1 in 20 exceeds its run limit, and 1 in 25 fails. */
     private void submitRandom() {
         List<Profile> profiles = active.configuration().profiles();
         Profile profile = profiles.get(random.nextInt(profiles.size()));
@@ -393,7 +396,7 @@
         return all.get(random.nextInt(all.size()));
     }
 
-    /** A new leader knows what the log says and what the targets report, and nothing else. */
+    /** Replaces the leader by one that knows nothing but what the log and the targets report. */
     private void replaceScheduler() {
         epoch++;
         pausedUntil = now;
@@ -441,10 +444,10 @@
             handle(new Event.LeavingListed(ImmutableSortedSet.copyOf(leavingTargets)));
             handle(new Event.PermitRenewed(until));
         }
-        schedule(PERMIT_RENEWAL_MILLIS, this::renewPermits);
+        schedule(PERMIT_RENEWAL_INTERVAL_MILLIS, this::renewPermits);
     }
 
-    /** Decides on an event now, or once the scheduler goes on if it is paused. */
+    /** Decides on {@code event} now, or after the pause if the scheduler is paused; a replaced leader drops it. */
     void handle(Event event) {
         if (now < pausedUntil) {
             long arrivalEpoch = epoch;
@@ -460,14 +463,14 @@
         steps++;
         violations.addAll(invariants.check(before, event, decision, now));
         state = decision.state();
-        recordStep(event, decision);
+        addToDigestAndTrace(event, decision);
         if (steps % AUDIT_INTERVAL_STEPS == 0) {
             violations.addAll(invariants.audit(state, now));
         }
         decision.commands().forEach(command -> execute(command, epoch));
     }
 
-    private void recordStep(Event event, Decision decision) {
+    private void addToDigestAndTrace(Event event, Decision decision) {
         String line = now + " " + event + " -> " + decision.notes() + " " + decision.commands();
         digest.putString(line, StandardCharsets.UTF_8);
         trace.add(line.length() > 600 ? line.substring(0, 600) : line);
@@ -476,11 +479,12 @@
         }
     }
 
+    /** Returns the delay of a message; 1 in 50 is so long that deadlines of the policy may pass. */
     private long randomDelayMillis() {
         return random.nextInt(50) == 0 ? random.nextLong(200, 3_500) : random.nextLong(1, 8);
     }
 
-    /** Commands reach a target in order, except for a few that are repeated after a time-out. */
+    /** Delivers commands to a target in the order sent, except 1 in 100, which stands for a retry after a timeout. */
     private void sendToTarget(Member member, Runnable command) {
         long arrival = now + randomDelayMillis();
         if (random.nextInt(100) > 0) {
@@ -519,6 +523,7 @@
         }
     }
 
+    /** Sends an event to the leader of {@code senderEpoch}, if it still leads; 1 in 30 arrives twice. */
     private void report(long senderEpoch, Event event) {
         int copies = random.nextInt(30) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
@@ -643,7 +648,7 @@
         });
     }
 
-    /** Records reach the log in order, at once or when it is up again. */
+    /** Appends a record in order, at once or when the log is available again. */
     private void append(Runnable record) {
         pendingRecords.add(record);
         flushLog();
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/DecisionBenchmark.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/DecisionBenchmark.java
@@ -27,7 +27,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time and allocation of single decisions in a data centre that is seven eighths full. */
+/** Measures time and allocation of single decisions in a data centre that is seven eighths full. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -40,7 +40,7 @@
     private static final int ACCOUNT_COUNT = 4;
     private static final long QUEUE_AND_RUN_LIMIT_MILLIS = 86_400_000;
 
-    /** Longer than starts are limited after a data centre comes into service, in milliseconds. */
+    /** Longer than the rate of starts is limited after a data centre comes into service. */
     private static final long AFTER_RAMP_UP_MILLIS = 60_000;
 
     @Param({"30", "1600", "16000"})
@@ -54,7 +54,7 @@
     private long now = 1_000_000;
     private long submittedCount;
 
-    /** Fills the data centre. */
+    /** Starts single-member requests on seven eighths of the accelerators. */
     @Setup
     public void fill() {
         state = CellState.initial("dc", 1);
@@ -131,7 +131,7 @@
         return id;
     }
 
-    /** Places a single-member request and ends it: two decisions. */
+    /** Places a single-member request and ends it, which takes two decisions. */
     @Benchmark
     public Object placeAndEndSingle() {
         submit(single);
@@ -141,14 +141,14 @@
                 id, running.attempt().number(), 0, new MemberState(MemberState.Status.ENDED, "")));
     }
 
-    /** Places a gang of four in one rack up to its reservations, and cancels it: two decisions. */
+    /** Places a gang of four in one rack up to its reservations and cancels it, which takes two decisions. */
     @Benchmark
     public Object placeAndCancelGang() {
         submit(gang);
         return apply(new Event.CancelAsked("r" + submittedCount));
     }
 
-    /** Takes in a large job that finds no place, and cancels it: two decisions. */
+    /** Queues a large job for which no place is free and cancels it, which takes two decisions. */
     @Benchmark
     public Object queueAndCancelLarge() {
         submit(large);
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/Deployments.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/Deployments.java
@@ -11,14 +11,14 @@
 import org.acaciaport.program.Settings;
 import org.acaciaport.program.SettingsException;
 
-/** The sample deployments, with profiles fit for runs of a few virtual hours. */
+/** Configurations of the sample deployments, with profiles adapted to simulations of a few virtual hours. */
 final class Deployments {
     private static final long MAX_RUN_MILLIS = 60_000;
     private static final long MAX_QUEUE_MILLIS = 600_000;
 
     private Deployments() {}
 
-    /** Reads the sample called {@code name} from the root of the checkout. */
+    /** Reads the sample {@code name} of the repository at {@code root} and adapts its profiles. */
     static Configuration read(Path root, String name) throws SettingsException {
         Path file = root.resolve("samples").resolve(name).resolve("configuration.toml");
         Configuration sample = Settings.read(file, Configuration.class);
@@ -30,11 +30,12 @@
                 profilesForRuns(sample.profiles()));
     }
 
-    /** Returns the name of the sample's first data centre. */
+    /** Returns the name of the first data centre of {@code configuration}. */
     static String firstDataCentre(Configuration configuration) {
         return configuration.dataCentres().getFirst().name();
     }
 
+    /** Returns the profiles of the sample and two more: one that fits on no target, one that can be checkpointed. */
     private static List<Profile> profilesForRuns(List<Profile> sample) {
         List<Profile> profiles = new ArrayList<>();
         for (Profile profile : sample) {
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/ExternalInvariants.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/ExternalInvariants.java
@@ -5,9 +5,14 @@
 import java.util.Map;
 import org.acaciaport.request.Outcome;
 
-/** Promises that only the outside can check: the targets' own records of starts and the callers' answers. */
+/**
+ * Checks of the invariants against what is visible outside the scheduler: starts on targets and answers to callers.
+ *
+ * <p>Unlike {@link Invariants}, which sees the state and commands of one leader, these checks span changes of leader.
+ * Times are virtual, in milliseconds. Not thread-safe.
+ */
 final class ExternalInvariants {
-    /** Longest time after a take-out, or a target's leaving, in which a start may still happen, in milliseconds. */
+    /** Grace period for starts after a data centre is taken out of service or a target begins to leave. */
     private static final long START_GRACE_MILLIS = 4_000;
 
     private final Map<String, FakeTarget> targets;
@@ -22,6 +27,7 @@
         this.violations = violations;
     }
 
+    /** Sets when the data centre went out of service, or {@link Long#MAX_VALUE} if it is in service. */
     void setOutOfServiceSince(long since) {
         outOfServiceSince = since;
     }
@@ -34,7 +40,7 @@
         leavingSince.clear();
     }
 
-    /** A start reaches its target while its deadline has not passed. */
+    /** Checks that a start arrives within the grace period, unless it is refused because its deadline has passed. */
     void checkStartArrival(Command.Start start, String target, long now) {
         if (now >= start.attempt().startBefore()) {
             return;
@@ -50,7 +56,12 @@
         }
     }
 
-    /** Work that must not run twice starts each member once, unless it was checkpointed; answered work never starts. */
+    /**
+     * Checks a start that the target has executed.
+     *
+     * <p>No member starts after its request was answered. A member that is not idempotent starts once, except to resume
+     * from a checkpoint.
+     */
     void checkStarted(Command.Start start) {
         String id = start.request().id();
         if (answers.containsKey(id)) {
@@ -69,6 +80,12 @@
         }
     }
 
+    /**
+     * Checks an answer to a caller.
+     *
+     * <p>It must be the first answer of its request. Work that is answered as not run must never have started, and work
+     * that is answered as done must have the output of every member.
+     */
     void checkAnswer(Command.Answer answer) {
         String id = answer.request().id();
         if (answers.containsKey(id)) {
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/GuaranteeTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/GuaranteeTest.java
@@ -8,12 +8,12 @@
 import org.acaciaport.config.Profile;
 import org.junit.jupiter.api.Test;
 
-/** What an account gets when it claims its share of a data centre that another one has filled. */
+/** Tests that an account gets the accelerators it is guaranteed in a data centre that another account has filled. */
 final class GuaranteeTest {
     private static final Path ROOT = Path.of("..");
     private static final long LONG_RUN_MILLIS = 50_000;
 
-    /** Longest time for messages between the steps of one start, in milliseconds. */
+    /** Allowance for the delays of the messages that a start takes, beyond the time to reclaim accelerators. */
     private static final long MESSAGE_DELAY_ALLOWANCE_MILLIS = 500;
 
     @Test
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/MeasureMain.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/MeasureMain.java
@@ -15,10 +15,11 @@
 import org.acaciaport.request.Request;
 
 /**
- * Prints, for one seeded load in virtual time, how this policy and two simpler ones do.
+ * The command-line program that prints how each {@link RuleSet} serves the same simulated load.
  *
- * <p>The load: one account floods the data centre with small work and bursts of it, another claims a gang every few
- * minutes, all submit previews, and a large job is always waiting. The data centre is out for a minute half-way.
+ * <p>In the load, one account fills the data centre with small work, bursts of it and gangs. Another submits a gang
+ * every 4 minutes, for which it claims accelerators, and a large job every 5 minutes. Four accounts submit previews in
+ * turn. The data centre is out of service for one minute in the middle of the run.
  */
 final class MeasureMain {
     private static final long MINUTE_MILLIS = 60_000;
@@ -66,6 +67,7 @@
         simulation.settle(MAX_SETTLE_MILLIS);
     }
 
+    /** Submits the requests of one second of the load, which uses the first four profiles of the deployment. */
     private void submitLoadOfSecond(long second) {
         String busyAccount = configuration.accounts().get(0).name();
         String occasionalAccount = configuration.accounts().get(1).name();
@@ -111,6 +113,7 @@
         kindByRequest.put(simulation.submit(account, profile, runMillis), kind);
     }
 
+    /** Adds the share of free accelerators on partly used targets and, after the return to service, the usage. */
     private void sampleUsage(long second) {
         Fleet fleet = simulation.state().fleet();
         int capacity = fleet.targets().values().stream()
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
@@ -12,7 +12,12 @@
 import org.acaciaport.decision.Violation.Invariant;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is left out in turn; the invariant that it serves must notice, and must not without the change. */
+/**
+ * Tests the invariant checks by mutation: disables one rule at a time and requires that the simulation detects a
+ * violation of the invariant that the rule upholds.
+ *
+ * <p>{@link RandomisedRunsTest} requires that there is no violation while all rules are in force.
+ */
 final class MissingRuleTest {
     private static final Path ROOT = Path.of("..");
     private static final long STEPS_PER_SEED = 10_000;
@@ -98,7 +103,7 @@
         });
     }
 
-    /** The log refuses a second intent, so both have to be missing. */
+    /** The log rejects a second intent too, so that check is disabled as well. */
     @Test
     void runningNonIdempotentWorkAgainIsDetected() throws Exception {
         Rules rules = new Rules() {
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/RandomisedRunsTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/RandomisedRunsTest.java
@@ -16,7 +16,12 @@
 import net.jqwik.api.ShrinkingMode;
 import org.acaciaport.config.Configuration;
 
-/** Randomised runs with any mix of faults, at least 200,000 decisions in all, every one checked. */
+/**
+ * Tests that the invariants hold in simulations with random seeds and random sets of disabled faults.
+ *
+ * <p>The runs make at least 200,000 decisions in all, and every one is checked. After each run, all faults end and
+ * every request must be answered.
+ */
 final class RandomisedRunsTest {
     private static final Path ROOT = Path.of("..");
     private static final long STEPS_PER_RUN = 8_000;
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/RuleSet.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/RuleSet.java
@@ -2,11 +2,11 @@
 
 import org.acaciaport.config.Profile;
 
-/** Simpler ways to decide, to measure against. */
+/** The rule sets that {@link MeasureMain} compares: that of the programs and two simpler baselines. */
 enum RuleSet {
     /** The rules that the programs use. */
     ACACIAPORT(new Rules()),
-    /** Arrival order over all accounts, the first place that fits, nothing taken back. */
+    /** First come, first served over all accounts at the first place that fits, without guarantees or preemption. */
     FIRST_FIT(new Rules() {
         @Override
         boolean preservesGuarantees(TargetState target, String account, int units) {
@@ -38,7 +38,7 @@
             return mostUrgent.sequence();
         }
     }),
-    /** Highest priority over all accounts first, nothing taken back, no aging. */
+    /** Highest priority first over all accounts, without guarantees, preemption or aging. */
     STRICT_PRIORITY(new Rules() {
         @Override
         boolean preservesGuarantees(TargetState target, String account, int units) {
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/SoakMain.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/SoakMain.java
@@ -9,7 +9,11 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import org.acaciaport.config.Configuration;
 
-/** One long randomised run from the command line. */
+/**
+ * The command-line program that runs one long simulation with random faults and prints its results.
+ *
+ * <p>Exits with 1 if an invariant was violated or a request was left unanswered, and otherwise with 0.
+ */
 final class SoakMain {
     private static final long MAX_SETTLE_MILLIS = 7_200_000;
 
@@ -38,6 +42,7 @@
         System.exit(simulation.violations().isEmpty() && unanswered == 0 ? 0 : 1);
     }
 
+    /** Returns the weights of all faults. */
     static Map<Fault, Integer> defaultWeights() {
         Map<Fault, Integer> weights = new TreeMap<>();
         for (Fault fault : Fault.values()) {
