--- a/acacia-proofs/src/test/java/org/acaciaport/decision/FakeTarget.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/FakeTarget.java
@@ -9,19 +9,26 @@
 import java.util.TreeSet;
 import org.acaciaport.config.Target;
 
-/** A target as a randomised run sees it: what it holds, what runs on it, and its own record of starts. */
+/**
+ * A fake target with reservations, running members, and a history of starts.
+ *
+ * <p>Members are identified by their {@link #memberKey}. Times are virtual, in milliseconds. Not thread-safe.
+ */
 final class FakeTarget {
-    /** One start, for the target's own record. */
-    record Started(String request, long attempt, int member, long at) {}
+    /** The start of a member at time {@code at}. */
+    record StartRecord(String request, long attempt, int member, long at) {}
 
-    /** Accelerators held until a time. */
-    private record Hold(int units, long until) {}
+    /** A reservation of {@code units} accelerators that expires after {@code until}. */
+    private record Reservation(int units, long until) {}
 
     private final Target target;
-    private final Map<String, Hold> held = new HashMap<>();
+    private final Map<String, Reservation> reservations = new HashMap<>();
     private final Map<String, Integer> running = new HashMap<>();
-    private final Set<String> known = new HashSet<>();
-    private final List<Started> started = new ArrayList<>();
+
+    /** Members that were started, released or refused, and that can no longer be reserved or started. */
+    private final Set<String> closedKeys = new HashSet<>();
+
+    private final List<StartRecord> starts = new ArrayList<>();
     private long epoch;
     private int incarnation;
     private boolean up = true;
@@ -40,38 +47,42 @@
         return target;
     }
 
-    boolean up() {
+    boolean isUp() {
         return up;
     }
 
+    /** Returns whether every member that starts here fails. */
     boolean failsAll() {
         return failsAll;
     }
 
-    void setFailsAll(boolean next) {
-        failsAll = next;
+    void setFailsAll(boolean value) {
+        failsAll = value;
     }
 
+    /** Returns whether this target ignores commands to checkpoint or throttle a member. */
     boolean ignoresTreatments() {
         return ignoresTreatments;
     }
 
-    void setIgnoresTreatments(boolean next) {
-        ignoresTreatments = next;
+    void setIgnoresTreatments(boolean value) {
+        ignoresTreatments = value;
     }
 
-    List<Started> started() {
-        return started;
+    /** Returns all starts since the beginning of the simulation; a crash does not clear them. */
+    List<StartRecord> starts() {
+        return starts;
     }
 
-    /** Goes down; everything on it ends. */
+    /** Crashes this target: its members end, and its reservations and closed members are forgotten. */
     void crash() {
         up = false;
-        held.clear();
+        reservations.clear();
         running.clear();
-        known.clear();
+        closedKeys.clear();
     }
 
+    /** Returns the number of restarts, which tells commands sent before a restart from later ones. */
     int incarnation() {
         return incarnation;
     }
@@ -81,70 +92,84 @@
         up = true;
     }
 
-    /** Refuses callers of an older epoch; a newer one ends what was only held. */
-    boolean rules(long caller) {
-        if (caller > epoch) {
-            epoch = caller;
-            held.clear();
+    /**
+     * Returns whether this target accepts a command of a leader of {@code callerEpoch}.
+     *
+     * <p>The epoch is a fencing token: commands of earlier epochs than the latest are refused. The first command of a
+     * later epoch drops all reservations. A target that is down accepts nothing.
+     */
+    boolean acceptEpoch(long callerEpoch) {
+        if (callerEpoch > epoch) {
+            epoch = callerEpoch;
+            reservations.clear();
         }
-        return up && caller == epoch;
+        return up && callerEpoch == epoch;
     }
 
+    /** Reserves accelerators until {@code until}; returns false if they are not free or the member is closed. */
     boolean reserve(String key, int units, long now, long until) {
-        held.values().removeIf(hold -> hold.until() < now);
-        if (known.contains(key) || inUse() + units > target.accelerators()) {
+        reservations.values().removeIf(reservation -> reservation.until() < now);
+        if (closedKeys.contains(key) || inUse() + units > target.accelerators()) {
             return false;
         }
-        held.put(key, new Hold(units, until));
+        reservations.put(key, new Reservation(units, until));
         return true;
     }
 
-    /** Gives a place up for good, also if the reservation arrives later. */
+    /** Releases the place of a member; a reservation or start of it that arrives later is refused. */
     void release(String key) {
-        known.add(key);
-        held.remove(key);
+        closedKeys.add(key);
+        reservations.remove(key);
     }
 
-    /** Starts a task unless it is late, known or does not fit; returns whether it runs now for the first time. */
+    /**
+     * Starts a member unless its deadline has passed, it was closed before, or it has no reservation and does not fit.
+     *
+     * @return whether it was started
+     */
     boolean start(Command.Start start, long now) {
-        String key = key(
+        String key = memberKey(
                 start.request().id(), start.attempt().number(), start.member().index());
-        held.values().removeIf(other -> other.until() < now);
-        Hold hold = held.remove(key);
-        boolean fits = hold != null || inUse() + start.member().units() <= target.accelerators();
-        if (now >= start.attempt().startBefore() || !fits || !known.add(key)) {
+        reservations.values().removeIf(r -> r.until() < now);
+        Reservation reservation = reservations.remove(key);
+        boolean fits = reservation != null || inUse() + start.member().units() <= target.accelerators();
+        if (now >= start.attempt().startBefore() || !fits || !closedKeys.add(key)) {
             return false;
         }
         running.put(key, start.member().units());
-        started.add(new Started(
+        starts.add(new StartRecord(
                 start.request().id(), start.attempt().number(), start.member().index(), now));
         return true;
     }
 
-    /** Refuses the task for good if it was not started yet; returns whether that is so. */
-    boolean refuse(String key) {
-        held.remove(key);
-        return known.add(key);
+    /** Closes a member if it was not closed before, so that a later start is refused; returns whether it closed it. */
+    boolean refuseIfNotStarted(String key) {
+        reservations.remove(key);
+        return closedKeys.add(key);
     }
 
-    Set<String> running() {
+    /** Returns the members that run, in the order of their keys. */
+    Set<String> runningKeys() {
         return new TreeSet<>(running.keySet());
     }
 
+    /** Ends a member; returns whether it was running. */
     boolean end(String key) {
         return running.remove(key) != null;
     }
 
+    /** Runs a paused member again on {@code units} accelerators, without a check that they are free. */
     void resume(String key, int units) {
         running.put(key, units);
     }
 
     private int inUse() {
-        return held.values().stream().mapToInt(Hold::units).sum()
+        return reservations.values().stream().mapToInt(Reservation::units).sum()
                 + running.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    static String key(String request, long attempt, int member) {
+    /** Returns the key of a member: its request, attempt number and index, separated by {@code #}. */
+    static String memberKey(String request, long attempt, int member) {
         return request + '#' + attempt + '#' + member;
     }
 }
