--- a/acacia-core/src/main/java/org/acaciaport/config/ConfigurationCheck.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/ConfigurationCheck.java
@@ -14,7 +14,7 @@
  */
 public final class ConfigurationCheck {
     /** Most members of one gang. */
-    public static final int MAX_GANG = 1024;
+    public static final int MAX_GANG_SIZE = 1024;
 
     /** Highest priority of a profile. */
     public static final int MAX_PRIORITY = 1000;
@@ -129,7 +129,7 @@
     private boolean shape(String at, Shape shape) {
         int before = problems.size();
         between(at + "accelerators-per-target", shape.acceleratorsPerTarget(), 1, 64);
-        between(at + "targets", shape.targets(), 1, MAX_GANG);
+        between(at + "targets", shape.targets(), 1, MAX_GANG_SIZE);
         require(
                 shape.adjacency() != Adjacency.SAME_TARGET || shape.targets() == 1,
                 at + "adjacency same-target with " + shape.targets() + " targets; use 1 target or same-rack");
--- a/acacia-core/src/main/java/org/acaciaport/directory/Directory.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/Directory.java
@@ -30,7 +30,7 @@
     private final long next;
     private final ActiveConfiguration active;
     private final PMap<String, Leader> leaders;
-    private final PMap<String, RequestEntry> requests;
+    private final PMap<String, RequestState> requests;
     private final PMap<String, String> keys;
     private final PMap<String, Long> sequences;
 
@@ -38,7 +38,7 @@
             long next,
             ActiveConfiguration active,
             PMap<String, Leader> leaders,
-            PMap<String, RequestEntry> requests,
+            PMap<String, RequestState> requests,
             PMap<String, String> keys,
             PMap<String, Long> sequences) {
         this.next = next;
@@ -55,10 +55,10 @@
      * @param directory the new state
      * @param verdict what became of the entry
      */
-    public record Step(Directory directory, Verdict verdict) {}
+    public record ApplyResult(Directory directory, Verdict verdict) {}
 
     /** Returns the offset of the first entry not yet applied. */
-    public long next() {
+    public long nextOffset() {
         return next;
     }
 
@@ -73,23 +73,23 @@
     }
 
     /** Returns what is known of the request called {@code id}, or null. */
-    public RequestEntry request(String id) {
+    public RequestState request(String id) {
         return requests.get(id);
     }
 
     /** Returns all requests known. */
-    public Iterable<RequestEntry> requests() {
+    public Iterable<RequestState> requests() {
         return requests.values();
     }
 
     /** Returns the request for which {@code account} used {@code key}, or null. */
-    public RequestEntry byKey(String account, String key) {
+    public RequestState requestByKey(String account, String key) {
         String id = keys.get(keyOf(account, key));
         return id == null ? null : requests.get(id);
     }
 
-    /** Applies the entry at {@link #next}, or at a higher offset if entries between have expired. */
-    public Step apply(LogEntry entry) {
+    /** Applies the entry at {@link #nextOffset}, or at a higher offset if entries between have expired. */
+    public ApplyResult apply(LogEntry entry) {
         long last = sequences.getOrDefault(entry.writer(), 0L);
         Directory seen = new Directory(
                 entry.offset() + 1,
@@ -99,7 +99,7 @@
                 keys,
                 sequences.plus(entry.writer(), Math.max(last, entry.sequence())));
         if (entry.sequence() <= last) {
-            return new Step(seen, new Verdict.Void("the append was repeated; the first one counts"));
+            return new ApplyResult(seen, new Verdict.Void("the append was repeated; the first one counts"));
         }
         return switch (entry.record()) {
             case LogRecord.Published published -> seen.publish(entry.offset(), published);
@@ -114,7 +114,7 @@
         };
     }
 
-    private Step publish(long offset, LogRecord.Published published) {
+    private ApplyResult publish(long offset, LogRecord.Published published) {
         if (published.base() != active.revision()) {
             return refuse("based on revision " + published.base() + " but " + active.revision()
                     + " is in force; read it, merge and publish again");
@@ -129,7 +129,7 @@
         return applied(withActive(new ActiveConfiguration(offset, published.configuration(), out)));
     }
 
-    private Step changeService(long offset, LogRecord.ServiceChanged change) {
+    private ApplyResult changeService(long offset, LogRecord.ServiceChanged change) {
         if (!active.configuration().hasDataCentre(change.dataCentre())) {
             return refuse("unknown data centre '" + change.dataCentre() + "'; 'acaciactl dc list' shows them");
         }
@@ -141,7 +141,7 @@
         return applied(withActive(new ActiveConfiguration(offset, active.configuration(), out)));
     }
 
-    private Step lead(long offset, LogRecord.Led led) {
+    private ApplyResult lead(long offset, LogRecord.Led led) {
         Leader leader = leaders.get(led.dataCentre());
         long epoch = leader == null ? 0 : leader.epoch();
         boolean begins = led.epoch() == epoch + 1;
@@ -154,7 +154,7 @@
         return applied(withLeaders(leaders.plus(led.dataCentre(), next)));
     }
 
-    private Step resign(LogRecord.Resigned resigned) {
+    private ApplyResult resign(LogRecord.Resigned resigned) {
         Leader leader = leaders.get(resigned.dataCentre());
         if (leader == null || leader.epoch() != resigned.epoch() || leader.resigned()) {
             return refuse("that epoch is over");
@@ -163,21 +163,21 @@
         return applied(withLeaders(leaders.plus(resigned.dataCentre(), next)));
     }
 
-    private Step accept(LogRecord.Accepted accepted) {
+    private ApplyResult accept(LogRecord.Accepted accepted) {
         Request request = accepted.request();
         String key = keyOf(request.account(), request.key());
-        RequestEntry original = byKey(request.account(), request.key());
+        RequestState original = requestByKey(request.account(), request.key());
         if (original != null) {
-            return new Step(this, new Verdict.KeyUsed(original));
+            return new ApplyResult(this, new Verdict.KeyUsed(original));
         }
-        RequestEntry entry =
-                new RequestEntry(request, accepted.payloadHash(), accepted.dataCentre(), null, false, null);
+        RequestState entry =
+                new RequestState(request, accepted.payloadHash(), accepted.dataCentre(), null, false, null);
         return applied(new Directory(
                 next, active, leaders, requests.plus(request.id(), entry), keys.plus(key, request.id()), sequences));
     }
 
-    private Step intend(LogRecord.Intended intended) {
-        RequestEntry entry = requests.get(intended.request());
+    private ApplyResult intend(LogRecord.Intended intended) {
+        RequestState entry = requests.get(intended.request());
         Leader leader = leaders.get(intended.dataCentre());
         if (entry == null || entry.outcome() != null || entry.intent() != null) {
             return refuse("the request is unknown, finished or has an attempt already");
@@ -188,8 +188,8 @@
         return applied(with(entry.withIntent(intended)));
     }
 
-    private Step voidAttempt(LogRecord.Voided voided) {
-        RequestEntry entry = requests.get(voided.request());
+    private ApplyResult voidAttempt(LogRecord.Voided voided) {
+        RequestState entry = requests.get(voided.request());
         if (entry == null
                 || entry.intent() == null
                 || entry.intent().attempt() != voided.attempt()
@@ -199,16 +199,16 @@
         return applied(with(entry.withoutIntent(voided.checkpointed())));
     }
 
-    private Step finish(LogRecord.Finished finished) {
-        RequestEntry entry = requests.get(finished.request());
+    private ApplyResult finish(LogRecord.Finished finished) {
+        RequestState entry = requests.get(finished.request());
         if (entry == null || entry.outcome() != null) {
             return refuse("the request is unknown or finished");
         }
         return applied(with(entry.withOutcome(finished.outcome())));
     }
 
-    private Step handOver(LogRecord.HandedOver handedOver) {
-        RequestEntry entry = requests.get(handedOver.request());
+    private ApplyResult handOver(LogRecord.HandedOver handedOver) {
+        RequestState entry = requests.get(handedOver.request());
         boolean movable = entry != null
                 && entry.outcome() == null
                 && entry.intent() == null
@@ -220,15 +220,15 @@
         return applied(with(entry.withHome(handedOver.to())));
     }
 
-    private Step refuse(String reason) {
-        return new Step(this, new Verdict.Void(reason));
+    private ApplyResult refuse(String reason) {
+        return new ApplyResult(this, new Verdict.Void(reason));
     }
 
-    private static Step applied(Directory directory) {
-        return new Step(directory, new Verdict.Applied());
+    private static ApplyResult applied(Directory directory) {
+        return new ApplyResult(directory, new Verdict.Applied());
     }
 
-    private Directory with(RequestEntry entry) {
+    private Directory with(RequestState entry) {
         return new Directory(
                 next, active, leaders, requests.plus(entry.request().id(), entry), keys, sequences);
     }
--- a/acacia-core/src/main/java/org/acaciaport/directory/RequestEntry.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/RequestState.java
@@ -16,26 +16,26 @@
  * @param checkpointed whether a saved state exists from which it resumes
  * @param outcome its final answer; null if none yet
  */
-public record RequestEntry(
+public record RequestState(
         Request request,
         String payloadHash,
         String home,
         LogRecord.Intended intent,
         boolean checkpointed,
         Outcome outcome) {
-    RequestEntry withIntent(LogRecord.Intended next) {
-        return new RequestEntry(request, payloadHash, home, next, checkpointed, outcome);
+    RequestState withIntent(LogRecord.Intended next) {
+        return new RequestState(request, payloadHash, home, next, checkpointed, outcome);
     }
 
-    RequestEntry withoutIntent(boolean saved) {
-        return new RequestEntry(request, payloadHash, home, null, checkpointed || saved, outcome);
+    RequestState withoutIntent(boolean saved) {
+        return new RequestState(request, payloadHash, home, null, checkpointed || saved, outcome);
     }
 
-    RequestEntry withOutcome(Outcome next) {
-        return new RequestEntry(request, payloadHash, home, intent, checkpointed, next);
+    RequestState withOutcome(Outcome next) {
+        return new RequestState(request, payloadHash, home, intent, checkpointed, next);
     }
 
-    RequestEntry withHome(String next) {
-        return new RequestEntry(request, payloadHash, next, intent, checkpointed, outcome);
+    RequestState withHome(String next) {
+        return new RequestState(request, payloadHash, next, intent, checkpointed, outcome);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/directory/Verdict.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/Verdict.java
@@ -17,7 +17,7 @@
      *
      * @param original what the log says of the first use
      */
-    record KeyUsed(RequestEntry original) implements Verdict {}
+    record KeyUsed(RequestState original) implements Verdict {}
 
     /** Returns whether the record took effect. */
     default boolean applied() {
--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/CtlSettings.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/CtlSettings.java
@@ -15,7 +15,7 @@
  * @param platform base URI of the platform's log
  */
 public record CtlSettings(String operator, List<String> callers, List<String> operators, String platform)
-        implements Settings.Checked {
+        implements Settings.Checkable {
     /** Creates settings with immutable copies of the lists. */
     public CtlSettings {
         callers = List.copyOf(callers);
--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/GatewayClient.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/GatewayClient.java
@@ -46,7 +46,7 @@
 
     /** Gets {@code path} from the HTTP interface for operators at {@code baseUri}, without failover. */
     JsonNode getFromOperatorApiAt(String baseUri, String path) throws PlatformException {
-        return JsonClient.check(baseUri, client.get(baseUri + path, CALL_TIMEOUT_MILLIS))
+        return JsonClient.requireSuccess(baseUri, client.get(baseUri + path, CALL_TIMEOUT_MILLIS))
                 .read(JsonNode.class);
     }
 
--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/Publisher.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/Publisher.java
@@ -99,15 +99,15 @@
     private Verdict replayLog() throws PlatformException {
         Verdict ownVerdict = null;
         while (true) {
-            PlatformLog.Page page = platform.read(directory.next(), MAX_ENTRIES_PER_READ, 0);
+            PlatformLog.Page page = platform.read(directory.nextOffset(), MAX_ENTRIES_PER_READ, 0);
             for (LogEntry entry : page.entries()) {
-                Directory.Step step = directory.apply(entry);
+                Directory.ApplyResult step = directory.apply(entry);
                 directory = step.directory();
                 if (entry.writer().equals(writer) && ownVerdict == null) {
                     ownVerdict = step.verdict();
                 }
             }
-            if (directory.next() >= page.end()) {
+            if (directory.nextOffset() >= page.end()) {
                 return ownVerdict;
             }
         }
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/CallerService.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/CallerService.java
@@ -10,7 +10,7 @@
 import org.acaciaport.http.HttpProblem;
 import org.acaciaport.http.HttpReply;
 import org.acaciaport.http.HttpService;
-import org.acaciaport.http.JsonProblems;
+import org.acaciaport.http.JsonErrors;
 import org.acaciaport.wire.Codecs;
 import org.acaciaport.wire.Message;
 
@@ -68,7 +68,7 @@
             return submit(call);
         }
         if (call.matches("GET", 3, "v1", "requests")) {
-            return awaitStatus(call.path().get(2), call.number("wait", 0, MAX_WAIT_MILLIS));
+            return awaitStatus(call.path().get(2), call.longParameter("wait", 0, MAX_WAIT_MILLIS));
         }
         if (call.matches("DELETE", 3, "v1", "requests")) {
             return toHttpReply(router.forward(
@@ -85,7 +85,7 @@
 
     private HttpReply submit(HttpCall call) throws HttpProblem {
         Submission submission = readSubmission(call);
-        long waitMillis = call.number("wait", 0, MAX_WAIT_MILLIS);
+        long waitMillis = call.longParameter("wait", 0, MAX_WAIT_MILLIS);
         Message.Submit submit =
                 new Message.Submit(submission.account(), submission.profile(), submission.key(), submission.payload());
         Message reply = router.submit(submit, deadlineAfterWait(0));
@@ -107,7 +107,7 @@
         try {
             submission = Codecs.json().treeToValue(body, Submission.class);
         } catch (JsonProcessingException e) {
-            throw HttpProblem.invalid(JsonProblems.describe(e), "correct the body and send it again");
+            throw HttpProblem.invalid(JsonErrors.describe(e), "correct the body and send it again");
         }
         checkLength("account", submission.account(), MAX_FIELD_CHARACTERS);
         checkLength("profile", submission.profile(), MAX_FIELD_CHARACTERS);
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/Gateway.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/Gateway.java
@@ -17,7 +17,7 @@
  * <p>Thread-safe. Call {@link #start} once, and {@link #drain} once after it has returned.
  */
 @Singleton
-public final class Gateway implements ServerProgram.Running {
+public final class Gateway implements ServerProgram.RunningServer {
     private static final Logger LOG = Logger.getLogger(Gateway.class);
 
     private final GatewaySettings settings;
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewaySettings.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/GatewaySettings.java
@@ -17,7 +17,7 @@
  * @param log format and level of the process log
  */
 public record GatewaySettings(Vm vm, Listen listen, List<Scheduler> schedulers, Drain drain, LogSettings log)
-        implements Settings.Checked {
+        implements Settings.Checkable {
     /** Creates settings with an immutable copy of the schedulers. */
     public GatewaySettings {
         schedulers = List.copyOf(schedulers);
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpCall.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpCall.java
@@ -36,7 +36,7 @@
             }
             return value;
         } catch (IOException e) {
-            throw HttpProblem.invalid(JsonProblems.describe(e), "correct the body and send it again");
+            throw HttpProblem.invalid(JsonErrors.describe(e), "correct the body and send it again");
         }
     }
 
@@ -45,7 +45,7 @@
      *
      * @throws HttpProblem if it is not a number from 0 to {@code most}
      */
-    public long number(String name, long absent, long most) throws HttpProblem {
+    public long longParameter(String name, long absent, long most) throws HttpProblem {
         String text = query.get(name);
         if (text == null) {
             return absent;
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpPlatform.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpPlatform.java
@@ -66,15 +66,15 @@
     @Override
     public Page read(long from, int most, long waitMillis) throws PlatformException {
         String uri = base + "/log/read?from=" + from + "&most=" + most + "&wait=" + waitMillis;
-        Entries entries =
-                JsonClient.check(uri, client.get(uri, CALL_MILLIS + waitMillis)).read(Entries.class);
+        Entries entries = JsonClient.requireSuccess(uri, client.get(uri, CALL_MILLIS + waitMillis))
+                .read(Entries.class);
         return new Page(entries.entries(), entries.first(), entries.end());
     }
 
     @Override
     public Set<String> leaving() throws PlatformException {
         String uri = base + "/vms";
-        return JsonClient.check(uri, client.get(uri, CALL_MILLIS)).read(Vms.class).vms().stream()
+        return JsonClient.requireSuccess(uri, client.get(uri, CALL_MILLIS)).read(Vms.class).vms().stream()
                 .filter(vm -> vm.state().equals("leaving"))
                 .map(Vm::id)
                 .collect(Collectors.toSet());
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpTargets.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpTargetClient.java
@@ -10,13 +10,13 @@
  *
  * <p>Safe for use by several threads.
  */
-public final class HttpTargets implements TargetClient {
+public final class HttpTargetClient implements TargetClient {
     private static final long CALL_MILLIS = 1_000;
 
     private final JsonClient client;
 
     /** Creates an adapter that sends through {@code client}. */
-    public HttpTargets(JsonClient client) {
+    public HttpTargetClient(JsonClient client) {
         this.client = client;
     }
 
@@ -58,7 +58,7 @@
     public record Treat(Place place, Treatment treatment, String incarnation) {}
 
     /** Answer of a target that did what was asked. */
-    public record Done(long clock) {}
+    public record Acknowledgement(long clock) {}
 
     @Override
     public Report poll(Target target, long epoch, long since, long waitMillis, long leaseMillis)
@@ -94,6 +94,6 @@
     }
 
     private void call(Target target, String path, Object body) throws PlatformException {
-        client.post(target.address() + path, body, Done.class, CALL_MILLIS);
+        client.post(target.address() + path, body, Acknowledgement.class, CALL_MILLIS);
     }
 }
--- a/acacia-platform/src/main/java/org/acaciaport/http/JsonClient.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JsonClient.java
@@ -89,7 +89,7 @@
             } catch (IOException e) {
                 throw new PlatformException(
                         PlatformException.Kind.UNCERTAIN,
-                        "answer not understood (" + JsonProblems.describe(e) + "); check the peer's version",
+                        "answer not understood (" + JsonErrors.describe(e) + "); check the peer's version",
                         e);
             }
         }
@@ -150,7 +150,7 @@
      * @throws PlatformException if no answer came in time or it was an error
      */
     public <T> T post(String uri, Object body, Class<T> type, long millis) throws PlatformException {
-        return check(uri, send("POST", uri, body, millis)).read(type);
+        return requireSuccess(uri, send("POST", uri, body, millis)).read(type);
     }
 
     /**
@@ -158,7 +158,7 @@
      *
      * @throws PlatformException if it was an error; 409, 410 and 412 mean that nothing was done
      */
-    public static Answer check(String uri, Answer answer) throws PlatformException {
+    public static Answer requireSuccess(String uri, Answer answer) throws PlatformException {
         if (answer.status() < OK_LIMIT) {
             return answer;
         }
--- a/acacia-platform/src/main/java/org/acaciaport/http/JsonProblems.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JsonErrors.java
@@ -7,8 +7,8 @@
 import java.util.stream.Collectors;
 
 /** Puts errors of the JSON and TOML library into short words. */
-public final class JsonProblems {
-    private JsonProblems() {}
+public final class JsonErrors {
+    private JsonErrors() {}
 
     /** Returns what is wrong and where. */
     public static String describe(IOException error) {
--- a/acacia-platform/src/main/java/org/acaciaport/program/LogSettings.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/LogSettings.java
@@ -8,7 +8,7 @@
  * @param format {@code text} or {@code json}
  * @param level {@code debug}, {@code info}, {@code warn} or {@code error}
  */
-public record LogSettings(String format, String level) implements Settings.Checked {
+public record LogSettings(String format, String level) implements Settings.Checkable {
     @Override
     public void check(SettingsCheck check) {
         check.matches("log.format", format, "text|json", "text or json");
--- a/acacia-platform/src/main/java/org/acaciaport/program/ServerProgram.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/ServerProgram.java
@@ -17,9 +17,9 @@
  *
  * @param <S> its settings
  */
-public final class ServerProgram<S extends Settings.Checked> {
+public final class ServerProgram<S extends Settings.Checkable> {
     /** A running program. */
-    public interface Running {
+    public interface RunningServer {
         /** Finishes work at hand and stops. Called once. */
         void drain() throws InterruptedException;
     }
@@ -27,7 +27,7 @@
     /** Starts a program. */
     public interface Starter<S> {
         /** Starts with {@code settings}; throws whatever keeps it from starting. */
-        Running start(S settings) throws Exception;
+        RunningServer start(S settings) throws Exception;
     }
 
     private final String name;
@@ -72,7 +72,7 @@
     }
 
     private ExitCode serve(S settings) {
-        Running running;
+        RunningServer running;
         try {
             running = starter.start(settings);
         } catch (Exception e) {
--- a/acacia-platform/src/main/java/org/acaciaport/program/Settings.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/Settings.java
@@ -10,7 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.acaciaport.http.JsonProblems;
+import org.acaciaport.http.JsonErrors;
 import org.acaciaport.wire.Codecs;
 
 /**
@@ -27,7 +27,7 @@
     private Settings() {}
 
     /** A record of settings that knows which values are allowed. */
-    public interface Checked {
+    public interface Checkable {
         /** Adds every problem with the values. */
         void check(SettingsCheck check);
     }
@@ -37,7 +37,7 @@
      *
      * @throws SettingsException if it cannot be used
      */
-    public static <T extends Checked> T load(Path file, Class<T> type) throws SettingsException {
+    public static <T extends Checkable> T load(Path file, Class<T> type) throws SettingsException {
         T settings = read(file, type);
         SettingsCheck check = new SettingsCheck();
         settings.check(check);
@@ -69,18 +69,18 @@
 
     private static String describe(String text, JsonProcessingException error) {
         if (error instanceof UnrecognizedPropertyException unknown) {
-            return "unknown key '" + JsonProblems.path(unknown) + "'; remove it or correct its name ("
-                    + JsonProblems.describe(unknown) + ")";
+            return "unknown key '" + JsonErrors.path(unknown) + "'; remove it or correct its name ("
+                    + JsonErrors.describe(unknown) + ")";
         }
         if (error instanceof JsonMappingException mapping) {
-            String path = JsonProblems.path(mapping);
+            String path = JsonErrors.path(mapping);
             if (valueAt(text, path).equals(MISSING)) {
                 return "key '" + path + "' is missing; add it as in the sample settings";
             }
             return "key '" + path + "' = " + valueAt(text, path) + ": " + firstLine(mapping.getOriginalMessage())
                     + "; see the sample settings for its type";
         }
-        return JsonProblems.describe(error) + "; correct the syntax";
+        return JsonErrors.describe(error) + "; correct the syntax";
     }
 
     private static String valueAt(String text, String path) {
--- a/acacia-platform/src/test/java/org/acaciaport/program/SettingsTest.java
+++ b/acacia-platform/src/test/java/org/acaciaport/program/SettingsTest.java
@@ -16,7 +16,7 @@
     Path folder;
 
     /** Settings of a program that exists only here. */
-    record Sample(String name, String address, long millis) implements Settings.Checked {
+    record Sample(String name, String address, long millis) implements Settings.Checkable {
         @Override
         public void check(SettingsCheck check) {
             check.name("name", name);
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
@@ -30,7 +30,7 @@
 import org.acaciaport.decision.Phase;
 import org.acaciaport.decision.Violation;
 import org.acaciaport.directory.Directory;
-import org.acaciaport.directory.RequestEntry;
+import org.acaciaport.directory.RequestState;
 import org.acaciaport.platform.TargetClient;
 import org.acaciaport.record.LogRecord;
 import org.acaciaport.request.Request;
@@ -101,7 +101,7 @@
     /** Queues the configuration and the unfinished requests of {@code directory} and starts the deciding thread. */
     void start(Directory directory) {
         onEvent(new Event.Configured(directory.active()));
-        for (RequestEntry entry : directory.requests()) {
+        for (RequestState entry : directory.requests()) {
             if (entry.outcome() == null && entry.home().equals(settings.vm().dataCentre())) {
                 onEvent(new Event.Recovered(entry.request(), recoveredAttempt(entry), entry.checkpointed()));
             }
@@ -110,7 +110,7 @@
         Thread.ofPlatform().name("decider-" + epoch).daemon().start(this::processEvents);
     }
 
-    private static Optional<Attempt> recoveredAttempt(RequestEntry entry) {
+    private static Optional<Attempt> recoveredAttempt(RequestState entry) {
         return Optional.ofNullable(entry.intent()).map(intent -> new Attempt(intent.attempt(), intent.members(), 0));
     }
 
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LogReplica.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LogReplica.java
@@ -172,17 +172,17 @@
         while (open) {
             long sentAt = clock.millis();
             try {
-                PlatformLog.Page page = log.read(directory.get().next(), MAX_READ_ENTRIES, POLL_TIMEOUT_MILLIS);
+                PlatformLog.Page page = log.read(directory.get().nextOffset(), MAX_READ_ENTRIES, POLL_TIMEOUT_MILLIS);
                 for (LogEntry entry : page.entries()) {
                     apply(entry, listener);
                 }
                 failures = 0;
                 setReadable(true, listener);
-                if (directory.get().next() >= page.end()) {
+                if (directory.get().nextOffset() >= page.end()) {
                     listener.onCaughtUp(sentAt);
                 }
             } catch (PlatformException e) {
-                LOG.warnf("log: read failed, next=%d, %s", directory.get().next(), e.getMessage());
+                LOG.warnf("log: read failed, next=%d, %s", directory.get().nextOffset(), e.getMessage());
                 setReadable(false, listener);
                 failures++;
                 backOffOrStop(failures);
@@ -191,7 +191,7 @@
     }
 
     private void apply(LogEntry entry, Listener listener) {
-        Directory.Step step = directory.get().apply(entry);
+        Directory.ApplyResult step = directory.get().apply(entry);
         directory.set(step.directory());
         listener.onApplied(entry, step.verdict(), step.directory());
         if (entry.writer().equals(writer)) {
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
@@ -17,7 +17,7 @@
 import org.acaciaport.decision.Phase;
 import org.acaciaport.decision.TargetState;
 import org.acaciaport.directory.Leader;
-import org.acaciaport.directory.RequestEntry;
+import org.acaciaport.directory.RequestState;
 import org.acaciaport.directory.Verdict;
 import org.acaciaport.record.LogRecord;
 import org.acaciaport.request.Outcome;
@@ -117,7 +117,7 @@
                     "have an operator publish the account");
         }
         String payloadHash = payloadHash(submit);
-        RequestEntry entry = replica.directory().byKey(submit.account(), submit.key());
+        RequestState entry = replica.directory().requestByKey(submit.account(), submit.key());
         if (entry != null) {
             return replyToDuplicate(entry, payloadHash);
         }
@@ -177,7 +177,7 @@
     }
 
     /** Returns the status of the request that the key was first used for, or a conflict if the content differs. */
-    private Message replyToDuplicate(RequestEntry entry, String payloadHash) {
+    private Message replyToDuplicate(RequestState entry, String payloadHash) {
         return entry.payloadHash().equals(payloadHash) ? currentStatus(entry.request()) : keyConflict();
     }
 
@@ -203,7 +203,7 @@
 
     /** Returns the status of the request if this scheduler knows it, or else where to ask for it. */
     private Message statusOrRedirect(String id) {
-        RequestEntry entry = replica.directory().request(id);
+        RequestState entry = replica.directory().request(id);
         LeaderTerm current = leaderTerm.get();
         Job job = current == null ? null : current.state().job(id).orElse(null);
         if (job != null) {
@@ -221,7 +221,7 @@
 
     /** Returns the status of a known request. Without an outcome and a current job it is reported as queued. */
     private Message currentStatus(Request request) {
-        RequestEntry entry = replica.directory().request(request.id());
+        RequestState entry = replica.directory().request(request.id());
         Outcome outcome = outcomes.getIfPresent(request.id());
         if (outcome == null && entry != null) {
             outcome = entry.outcome();
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
@@ -40,7 +40,7 @@
  * and receives every entry that follows.
  */
 @Singleton
-public final class Scheduler implements LogReplica.Listener, ServerProgram.Running {
+public final class Scheduler implements LogReplica.Listener, ServerProgram.RunningServer {
     private static final Logger LOG = Logger.getLogger(Scheduler.class);
     /** Renewals of the permit to start work within its duration. */
     private static final int PERMIT_RENEWALS_PER_LEASE = 6;
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerModule.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerModule.java
@@ -7,7 +7,7 @@
 import org.acaciaport.decision.Decider;
 import org.acaciaport.decision.Policy;
 import org.acaciaport.http.HttpPlatform;
-import org.acaciaport.http.HttpTargets;
+import org.acaciaport.http.HttpTargetClient;
 import org.acaciaport.http.JsonClient;
 import org.acaciaport.platform.PlatformLog;
 import org.acaciaport.platform.TargetClient;
@@ -47,7 +47,7 @@
 
     @Provides
     TargetClient targets() {
-        return new HttpTargets(client);
+        return new HttpTargetClient(client);
     }
 
     @Provides
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerSettings.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/SchedulerSettings.java
@@ -16,7 +16,7 @@
  * @param log format and level of the program's own log output
  */
 public record SchedulerSettings(Vm vm, Listen listen, Platform platform, Leases leases, LogSettings log)
-        implements Settings.Checked {
+        implements Settings.Checkable {
     /**
      * Identity and location of this process.
      *
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinPlatform.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinPlatform.java
@@ -61,7 +61,7 @@
             return setLeaving(call.path().get(1), false);
         }
         if (call.matches("POST", 2, "log", "expire")) {
-            return expire(call.number("before", 0, Long.MAX_VALUE));
+            return expire(call.longParameter("before", 0, Long.MAX_VALUE));
         }
         faults.injectBeforeEffect();
         if (call.matches("POST", 2, "log", "append")) {
@@ -94,9 +94,9 @@
     }
 
     private synchronized Entries read(HttpCall call) throws HttpProblem {
-        long from = call.number("from", 0, Long.MAX_VALUE);
-        int limit = (int) call.number("most", 1_000, 10_000);
-        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(call.number("wait", 0, 60_000));
+        long from = call.longParameter("from", 0, Long.MAX_VALUE);
+        int limit = (int) call.longParameter("most", 1_000, 10_000);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(call.longParameter("wait", 0, 60_000));
         while (firstOffset + entries.size() <= from) {
             long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
             if (remainingMillis <= 0) {
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinTarget.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinTarget.java
@@ -12,7 +12,7 @@
 import java.util.regex.Pattern;
 import org.acaciaport.config.Treatment;
 import org.acaciaport.http.HttpProblem;
-import org.acaciaport.http.HttpTargets;
+import org.acaciaport.http.HttpTargetClient;
 import org.acaciaport.platform.TargetClient;
 
 /**
@@ -81,7 +81,7 @@
         return List.copyOf(starts);
     }
 
-    synchronized TargetClient.Report poll(HttpTargets.Poll poll) throws HttpProblem {
+    synchronized TargetClient.Report poll(HttpTargetClient.Poll poll) throws HttpProblem {
         admitEpoch(poll.epoch());
         long polledAtMillis = nowMillis();
         leaseExpiresAtMillis = polledAtMillis + poll.leaseMillis();
@@ -104,7 +104,7 @@
         return new TargetClient.Report(incarnation, nowMillis(), version, changed);
     }
 
-    synchronized void reserve(HttpTargets.Reserve reserve) throws HttpProblem {
+    synchronized void reserve(HttpTargetClient.Reserve reserve) throws HttpProblem {
         TargetClient.Place place = reserve.place();
         admitEpoch(place.epoch());
         reservations.values().removeIf(reservation -> reservation.expiresAtMillis() < nowMillis());
@@ -126,7 +126,7 @@
         }
     }
 
-    synchronized void start(HttpTargets.Start start) throws HttpProblem {
+    synchronized void start(HttpTargetClient.Start start) throws HttpProblem {
         TargetClient.Place place = start.place();
         admitEpoch(place.epoch());
         if (!start.incarnation().equals(incarnation)) {
@@ -164,7 +164,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    synchronized void treat(HttpTargets.Treat treat) throws HttpProblem {
+    synchronized void treat(HttpTargetClient.Treat treat) throws HttpProblem {
         admitEpoch(treat.place().epoch());
         if (!treat.incarnation().equals(incarnation)) {
             throw conflict("the target was restarted");
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinTargets.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinTargets.java
@@ -11,7 +11,7 @@
 import org.acaciaport.http.HttpProblem;
 import org.acaciaport.http.HttpReply;
 import org.acaciaport.http.HttpService;
-import org.acaciaport.http.HttpTargets;
+import org.acaciaport.http.HttpTargetClient;
 import org.acaciaport.platform.TargetClient;
 
 /**
@@ -66,13 +66,13 @@
         }
         target.faults().injectBeforeEffect();
         if (operation.equals("poll")) {
-            return HttpReply.ok(target.poll(call.read(HttpTargets.Poll.class)));
+            return HttpReply.ok(target.poll(call.read(HttpTargetClient.Poll.class)));
         }
         switch (operation) {
-            case "reserve" -> target.reserve(call.read(HttpTargets.Reserve.class));
+            case "reserve" -> target.reserve(call.read(HttpTargetClient.Reserve.class));
             case "release" -> target.release(call.read(TargetClient.Place.class));
-            case "start" -> target.start(call.read(HttpTargets.Start.class));
-            case "treat" -> target.treat(call.read(HttpTargets.Treat.class));
+            case "start" -> target.start(call.read(HttpTargetClient.Start.class));
+            case "treat" -> target.treat(call.read(HttpTargetClient.Treat.class));
             case "resume" -> target.resume(call.read(TargetClient.Place.class));
             default -> throw HttpProblem.notFound("no such call", "see the target's interface");
         }
@@ -87,6 +87,6 @@
     }
 
     private static HttpReply done() {
-        return HttpReply.ok(new HttpTargets.Done(System.currentTimeMillis()));
+        return HttpReply.ok(new HttpTargetClient.Acknowledgement(System.currentTimeMillis()));
     }
 }
