--- a/acacia-core/src/main/java/org/acaciaport/config/ActiveConfiguration.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/ActiveConfiguration.java
@@ -4,19 +4,19 @@
 import java.util.Set;
 
 /**
- * The configuration in force, with the data centres that operators have taken out of service.
+ * The configuration in force, together with the data centres that operators have taken out of service.
  *
- * <p>Immutable. {@code revision} is the log offset of the record that produced it and only ever grows.
+ * <p>Immutable.
  *
- * @param revision log offset of the newest record applied; -1 before the first
- * @param configuration the published document
+ * @param revision log offset of the newest record that changed it; -1 before the first. Never decreases.
+ * @param configuration the published configuration
  * @param out names of the data centres taken out of service
  */
 public record ActiveConfiguration(long revision, Configuration configuration, Set<String> out) {
-    /** Nothing published yet. */
+    /** The state before anything has been published. */
     public static final ActiveConfiguration NONE = new ActiveConfiguration(-1, Configuration.EMPTY, Set.of());
 
-    /** Copies the set. */
+    /** Makes a defensive copy of {@code out}. */
     public ActiveConfiguration {
         out = ImmutableSet.copyOf(out);
     }
--- a/acacia-core/src/main/java/org/acaciaport/config/Adjacency.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/Adjacency.java
@@ -1,11 +1,11 @@
 package org.acaciaport.config;
 
-/** How close together the members of a gang must run. */
+/** A locality constraint on the members of a gang. */
 public enum Adjacency {
     /** All accelerators on one target. */
     SAME_TARGET,
     /** All members on targets of one rack. */
     SAME_RACK,
-    /** Members anywhere in one data centre. */
+    /** All members in one data centre, on targets of any rack. */
     SAME_DATA_CENTRE
 }
--- a/acacia-core/src/main/java/org/acaciaport/config/ClientAccount.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/ClientAccount.java
@@ -1,7 +1,7 @@
 package org.acaciaport.config;
 
 /**
- * A customer with a guaranteed share, equal to every other account's.
+ * A tenant. Every account has the same guaranteed capacity in each data centre that has a {@link Guarantee}.
  *
  * <p>Immutable.
  *
--- a/acacia-core/src/main/java/org/acaciaport/config/ConfigurationCheck.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/ConfigurationCheck.java
@@ -1,5 +1,6 @@
 package org.acaciaport.config;
 
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -7,18 +8,27 @@
 import java.util.function.Function;
 
 /**
- * Decides whether a {@link Configuration} may be accepted. Publishing and replay run the same check, so a record that
- * one process accepts is accepted by all.
+ * Validates a {@link Configuration}. Both publishing and log replay use this validation, so all processes agree on
+ * whether a published record takes effect.
  *
- * <p>Stateless apart from the problems of one call; not shared between threads.
+ * <p>An instance holds the problems found in one configuration and is confined to one call of {@link #check}.
  */
 public final class ConfigurationCheck {
-    /** Most members of one gang. */
+    /** Maximum number of members of one gang. */
     public static final int MAX_GANG_SIZE = 1024;
 
-    /** Highest priority of a profile. */
+    /** Highest allowed priority of a profile. */
     public static final int MAX_PRIORITY = 1000;
 
+    private static final int MAX_PROCESSORS = 4096;
+    private static final int MAX_MEMORY_MB = 1 << 26;
+    private static final int MAX_ACCELERATORS = 64;
+    private static final int MAX_SLOTS = 1024;
+    private static final int MAX_CONNECTIONS = 1024;
+    private static final long MIN_LIMIT_MILLIS = 100;
+    private static final long MAX_QUEUE_LIMIT_MILLIS = Duration.ofDays(7).toMillis();
+    private static final long MAX_RUN_LIMIT_MILLIS = Duration.ofDays(30).toMillis();
+
     private final Configuration configuration;
     private final List<String> problems = new ArrayList<>();
 
@@ -27,119 +37,122 @@
     }
 
     /**
-     * Checks a whole configuration.
+     * Checks that {@code configuration} is valid.
      *
-     * @throws ConfigurationException if anything is wrong; it lists every problem
+     * @throws ConfigurationException if it is not; lists all problems found
      */
     public static void check(Configuration configuration) throws ConfigurationException {
         ConfigurationCheck check = new ConfigurationCheck(configuration);
-        check.names();
-        configuration.targets().forEach(check::target);
-        configuration.guarantees().forEach(check::guarantee);
-        configuration.profiles().forEach(check::profile);
-        check.precedence();
+        check.checkNames();
+        configuration.targets().forEach(check::checkTarget);
+        configuration.guarantees().forEach(check::checkGuarantee);
+        configuration.profiles().forEach(check::checkProfile);
+        check.checkPrecedence();
         if (!check.problems.isEmpty()) {
             throw new ConfigurationException(check.problems);
         }
     }
 
-    private void names() {
-        unique("data-centres", configuration.dataCentres(), DataCentre::name);
-        unique("targets", configuration.targets(), Target::id);
-        unique("accounts", configuration.accounts(), ClientAccount::name);
-        unique("guarantees", configuration.guarantees(), Guarantee::dataCentre);
-        unique("profiles", configuration.profiles(), Profile::name);
+    private void checkNames() {
+        checkUniqueNames("data-centres", configuration.dataCentres(), DataCentre::name);
+        checkUniqueNames("targets", configuration.targets(), Target::id);
+        checkUniqueNames("accounts", configuration.accounts(), ClientAccount::name);
+        checkUniqueNames("guarantees", configuration.guarantees(), Guarantee::dataCentre);
+        checkUniqueNames("profiles", configuration.profiles(), Profile::name);
         require(!configuration.dataCentres().isEmpty(), "data-centres: is empty; add at least one");
         require(!configuration.accounts().isEmpty(), "accounts: is empty; add at least one");
     }
 
-    private <T> void unique(String table, List<T> entries, Function<T, String> name) {
+    private <T> void checkUniqueNames(String table, List<T> entries, Function<T, String> nameOf) {
         Set<String> seen = new HashSet<>();
         for (T entry : entries) {
-            String value = name.apply(entry);
+            String name = nameOf.apply(entry);
             require(
-                    value.matches("[a-z0-9][a-z0-9.-]{0,62}"),
-                    table + ": bad name '" + value + "'; use lower-case letters, digits, '.' and '-', at most 63");
-            require(seen.add(value), table + ": '" + value + "' stands twice; remove one");
+                    name.matches("[a-z0-9][a-z0-9.-]{0,62}"),
+                    table + ": invalid name '" + name + "'; use lower-case letters, digits, '.' and '-', at most 63");
+            require(seen.add(name), table + ": '" + name + "' is listed twice; remove one");
         }
     }
 
-    private void target(Target target) {
-        String at = "targets." + target.id() + ": ";
+    private void checkTarget(Target target) {
+        String prefix = "targets." + target.id() + ": ";
         require(
                 configuration.hasDataCentre(target.dataCentre()),
-                at + "unknown data-centre '" + target.dataCentre() + "'; add it to data-centres");
+                prefix + "unknown data-centre '" + target.dataCentre() + "'; add it to data-centres");
         require(
                 target.address().matches("http://[0-9.]+:[0-9]+(/.*)?"),
-                at + "address '" + target.address() + "' is not http://IP:PORT/...; use an IP number");
-        between(at + "processors", target.processors(), 1, 4096);
-        between(at + "memory-mb", target.memoryMb(), 1, 1 << 26);
-        between(at + "accelerators", target.accelerators(), 1, 64);
-        between(at + "slots", target.slots(), target.accelerators(), 1024);
-        between(at + "connections", target.connections(), 1, 1024);
+                prefix + "address '" + target.address() + "' is not http://IP:PORT/...; use an IP address");
+        requireInRange(prefix + "processors", target.processors(), 1, MAX_PROCESSORS);
+        requireInRange(prefix + "memory-mb", target.memoryMb(), 1, MAX_MEMORY_MB);
+        requireInRange(prefix + "accelerators", target.accelerators(), 1, MAX_ACCELERATORS);
+        requireInRange(prefix + "slots", target.slots(), target.accelerators(), MAX_SLOTS);
+        requireInRange(prefix + "connections", target.connections(), 1, MAX_CONNECTIONS);
     }
 
-    private void guarantee(Guarantee guarantee) {
-        String at = "guarantees." + guarantee.dataCentre() + ": ";
+    private void checkGuarantee(Guarantee guarantee) {
+        String prefix = "guarantees." + guarantee.dataCentre() + ": ";
         if (!configuration.hasDataCentre(guarantee.dataCentre())) {
-            problems.add(at + "unknown data-centre; add it to data-centres or remove the guarantee");
+            problems.add(prefix + "unknown data-centre; add it to data-centres or remove the guarantee");
             return;
         }
-        if (!shape(at, guarantee.shape())) {
+        if (!checkShape(prefix, guarantee.shape())) {
             return;
         }
-        int owned = Shares.unassigned(configuration, guarantee.dataCentre());
+        int unsatisfiedAccounts = Shares.unassigned(configuration, guarantee.dataCentre());
         require(
-                owned == 0,
-                at + guarantee.shape() + " for each of "
-                        + configuration.accounts().size() + " accounts does not fit (" + owned
-                        + " accounts short); make the shape smaller or add targets");
+                unsatisfiedAccounts == 0,
+                prefix + guarantee.shape() + " for each of "
+                        + configuration.accounts().size() + " accounts does not fit (" + unsatisfiedAccounts
+                        + " accounts lack capacity); make the shape smaller or add targets");
     }
 
-    private void profile(Profile profile) {
-        String at = "profiles." + profile.name() + ": ";
-        shape(at, profile.shape());
-        between(at + "processors", profile.processors(), 0, 4096);
-        between(at + "memory-mb", profile.memoryMb(), 0, 1 << 26);
-        between(at + "priority", profile.priority(), 0, MAX_PRIORITY);
-        between(at + "queue-limit-millis", profile.queueLimitMillis(), 100, 7L * 86_400_000);
-        between(at + "run-limit-millis", profile.runLimitMillis(), 100, 30L * 86_400_000);
+    private void checkProfile(Profile profile) {
+        String prefix = "profiles." + profile.name() + ": ";
+        checkShape(prefix, profile.shape());
+        requireInRange(prefix + "processors", profile.processors(), 0, MAX_PROCESSORS);
+        requireInRange(prefix + "memory-mb", profile.memoryMb(), 0, MAX_MEMORY_MB);
+        requireInRange(prefix + "priority", profile.priority(), 0, MAX_PRIORITY);
+        requireInRange(
+                prefix + "queue-limit-millis", profile.queueLimitMillis(), MIN_LIMIT_MILLIS, MAX_QUEUE_LIMIT_MILLIS);
+        requireInRange(prefix + "run-limit-millis", profile.runLimitMillis(), MIN_LIMIT_MILLIS, MAX_RUN_LIMIT_MILLIS);
         require(
                 profile.idempotent() || !profile.borrows() || profile.revocable(),
-                at + "borrows without being idempotent; allow both checkpoint and stop, or set borrows = false");
+                prefix + "borrows without being idempotent; allow both checkpoint and stop, or set borrows = false");
     }
 
-    private void precedence() {
+    private void checkPrecedence() {
         for (Profile profile : configuration.profiles()) {
-            String at = "profiles." + profile.name() + ".precedes: ";
-            for (String name : profile.precedes()) {
-                Profile other = configuration.profile(name).orElse(null);
-                if (other == null) {
-                    problems.add(at + "unknown profile '" + name + "'; add it or remove the name");
+            String prefix = "profiles." + profile.name() + ".precedes: ";
+            for (String lowerName : profile.precedes()) {
+                Profile lower = configuration.profile(lowerName).orElse(null);
+                if (lower == null) {
+                    problems.add(prefix + "unknown profile '" + lowerName + "'; add it or remove the name");
                     continue;
                 }
                 require(
-                        other.priority() < profile.priority(),
-                        at + "'" + name + "' has priority " + other.priority() + ", not below " + profile.priority()
-                                + "; lower it");
+                        lower.priority() < profile.priority(),
+                        prefix + "'" + lowerName + "' has priority " + lower.priority() + ", not below "
+                                + profile.priority() + "; lower it");
             }
         }
     }
 
-    private boolean shape(String at, Shape shape) {
-        int before = problems.size();
-        between(at + "accelerators-per-target", shape.acceleratorsPerTarget(), 1, 64);
-        between(at + "targets", shape.targets(), 1, MAX_GANG_SIZE);
+    /** Returns whether {@code shape} is valid; adds its problems otherwise. */
+    private boolean checkShape(String prefix, Shape shape) {
+        int problemsBefore = problems.size();
+        requireInRange(prefix + "accelerators-per-target", shape.acceleratorsPerTarget(), 1, MAX_ACCELERATORS);
+        requireInRange(prefix + "targets", shape.targets(), 1, MAX_GANG_SIZE);
         require(
                 shape.adjacency() != Adjacency.SAME_TARGET || shape.targets() == 1,
-                at + "adjacency same-target with " + shape.targets() + " targets; use 1 target or same-rack");
-        return problems.size() == before;
+                prefix + "adjacency same-target with " + shape.targets() + " targets; use 1 target or same-rack");
+        return problems.size() == problemsBefore;
     }
 
-    private void between(String what, long value, long low, long high) {
-        require(value >= low && value <= high, what + " = " + value + " is out of range; use " + low + " to " + high);
+    private void requireInRange(String key, long value, long min, long max) {
+        require(value >= min && value <= max, key + " = " + value + " is out of range; use " + min + " to " + max);
     }
 
+    /** Adds {@code problem} unless {@code condition} holds. */
     private void require(boolean condition, String problem) {
         if (!condition) {
             problems.add(problem);
--- a/acacia-core/src/main/java/org/acaciaport/config/ConfigurationException.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/ConfigurationException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Thrown for a configuration that must be refused whole; each problem names its place and remedy. */
+/** Thrown when a configuration is invalid. Each problem names the key at fault and how to correct it. */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** Returns every problem found, each with its remedy. */
+    /** Returns all problems found. */
     public List<String> problems() {
         return problems;
     }
--- a/acacia-core/src/main/java/org/acaciaport/config/DataCentre.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/DataCentre.java
@@ -1,7 +1,7 @@
 package org.acaciaport.config;
 
 /**
- * A zone with its own targets and entry VMs, and the unit in which one scheduler at a time decides.
+ * A data centre with its own targets and entry VMs. One scheduler at a time, its leader, makes all decisions in it.
  *
  * <p>Immutable.
  *
--- a/acacia-core/src/main/java/org/acaciaport/config/Profile.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/Profile.java
@@ -4,22 +4,21 @@
 import java.util.Optional;
 
 /**
- * A named kind of work: the shape it needs, its priority and how it may be treated.
+ * A named class of work: the resources it needs, its priority and how it may be preempted.
  *
- * <p>Immutable. The three limits are policy, not points in time; they become deadlines when a request is accepted or
- * started.
+ * <p>Immutable. The two limits are durations; they are turned into deadlines when a request is accepted or started.
  *
  * @param name unique name that requests refer to
- * @param shape accelerators, members and adjacency
- * @param processors processors on each member's target
- * @param memoryMb memory on each member's target, in mebibytes
- * @param priority rank within a client account; higher runs first
+ * @param shape the accelerators that each member needs, the number of members and their adjacency
+ * @param processors processors that each member needs on its target
+ * @param memoryMb memory that each member needs on its target, in mebibytes
+ * @param priority priority among the requests of a client account; higher values run first
  * @param idempotent whether the work may be run more than once
- * @param borrows whether the work may run on accelerators that another account can claim
- * @param treatments what may be done to running work to take its accelerators back
- * @param precedes names of profiles whose work never starts while work of this profile waits in the same account
- * @param queueLimitMillis longest wait before the request is answered as not run, in milliseconds
- * @param runLimitMillis longest run before the work is stopped, in milliseconds
+ * @param borrows whether the work may run on accelerators that are guaranteed to other accounts
+ * @param treatments the allowed ways to reclaim the accelerators of running work
+ * @param precedes names of profiles whose work does not start while work of this profile is queued in the same account
+ * @param queueLimitMillis longest time in the queue before the request is answered as not run, in milliseconds
+ * @param runLimitMillis longest run time before the work is stopped, in milliseconds
  */
 public record Profile(
         String name,
@@ -33,15 +32,16 @@
         List<String> precedes,
         long queueLimitMillis,
         long runLimitMillis) {
-    /** Copies the lists. */
+    /** Makes defensive copies of the lists. */
     public Profile {
         treatments = List.copyOf(treatments);
         precedes = List.copyOf(precedes);
     }
 
     /**
-     * Returns whether running work of this profile can be taken off a target within a bounded time without harm.
-     * Non-idempotent work qualifies only when it can be both checkpointed and stopped.
+     * Returns whether running work of this profile can be preempted within a bounded time. It must be allowed to borrow
+     * and to be stopped; work that is not idempotent must also support checkpoints, since it cannot be run again from
+     * the beginning.
      */
     public boolean revocable() {
         if (!borrows || !treatments.contains(Treatment.STOP)) {
@@ -50,7 +50,10 @@
         return idempotent || treatments.contains(Treatment.CHECKPOINT);
     }
 
-    /** Returns the first allowed treatment after {@code previous}, or the first of all if that is empty. */
+    /**
+     * Returns the next allowed treatment, in the order of the enum, after {@code previous}; the first one if {@code
+     * previous} is empty.
+     */
     public Optional<Treatment> treatmentAfter(Optional<Treatment> previous) {
         for (Treatment treatment : Treatment.values()) {
             boolean later = previous.isEmpty() || treatment.compareTo(previous.get()) > 0;
@@ -61,14 +64,15 @@
         return Optional.empty();
     }
 
-    /** Returns whether the profile needs more than one target. */
+    /** Returns whether the work needs more than one target. */
     public boolean gang() {
         return shape.targets() > 1;
     }
 
     /**
-     * Returns the accelerators that one member occupies on {@code target}: its own, or more where its share of the
-     * processors or of the memory is larger, so that accelerators alone decide what fits.
+     * Returns the number of accelerators to reserve on {@code target} for one member: the number it needs, or more if
+     * it needs a larger fraction of the target's processors or memory. The reserved accelerators thus account for all
+     * three resources, and placement need only compare accelerators.
      */
     public int unitsOn(Target target) {
         int byProcessors = ceilDiv(processors * target.accelerators(), target.processors());
--- a/acacia-core/src/main/java/org/acaciaport/config/Shares.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/Shares.java
@@ -12,13 +12,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Which slices of which targets make up each account's guaranteed shape in one data centre.
+ * An assignment of target slices to client accounts that backs the guarantee of one data centre.
  *
- * <p>Immutable. An account owns at most one slice of a target, all its slices obey the guarantee's adjacency, and a
- * slice is only assigned where it, the other slices and the irrevocable work of other accounts fit together.
+ * <p>Immutable. An account owns at most one slice of a target, and its slices satisfy the adjacency of the guarantee. A
+ * slice is assigned only if the target has capacity for it together with the slices and the irrevocable work of the
+ * other accounts. Work is irrevocable if it cannot be preempted; see {@link Profile#revocable}.
  */
 public final class Shares {
-    /** No guarantees at all. */
+    /** The assignment of a data centre without a guarantee. */
     public static final Shares NONE = new Shares(ImmutableListMultimap.of(), ImmutableMap.of());
 
     private final ImmutableListMultimap<String, Slice> byAccount;
@@ -28,29 +29,31 @@
     private Shares(ImmutableListMultimap<String, Slice> byAccount, ImmutableMap<String, Integer> owed) {
         this.byAccount = byAccount;
         this.owed = owed;
-        Map<String, Map<String, Integer>> targets = new HashMap<>();
+        Map<String, Map<String, Integer>> unitsByTarget = new HashMap<>();
         for (Slice slice : byAccount.values()) {
-            targets.computeIfAbsent(slice.target(), t -> new LinkedHashMap<>()).put(slice.account(), slice.units());
+            unitsByTarget
+                    .computeIfAbsent(slice.target(), t -> new LinkedHashMap<>())
+                    .put(slice.account(), slice.units());
         }
-        this.byTarget = ImmutableMap.copyOf(targets);
+        this.byTarget = ImmutableMap.copyOf(unitsByTarget);
     }
 
     /**
-     * A target that can hold slices.
+     * The capacity of a target that slices can be assigned on.
      *
-     * @param target identifier
-     * @param rack its rack
-     * @param capacity its accelerators
-     * @param irrevocable accelerators in use by work that cannot be taken off, by account
+     * @param target identifier of the target
+     * @param rack name of its rack
+     * @param capacity number of its accelerators
+     * @param irrevocable accelerators in use by work that cannot be preempted, by account
      */
     public record Place(String target, String rack, int capacity, Map<String, Integer> irrevocable) {
-        /** Returns an unused place for {@code target}. */
+        /** Returns the capacity of {@code target} while no work runs on it. */
         public static Place of(Target target) {
             return new Place(target.id(), target.rack(), target.accelerators(), Map.of());
         }
     }
 
-    /** Returns how many accounts' guarantees do not fit in the empty data centre. */
+    /** Returns the number of accounts whose guarantee cannot be met even when no work runs in the data centre. */
     static int unassigned(Configuration configuration, String dataCentre) {
         List<Place> places =
                 configuration.targetsOf(dataCentre).stream().map(Place::of).toList();
@@ -58,16 +61,16 @@
     }
 
     /**
-     * Assigns every account's guaranteed shape, keeping slices of {@code previous} where they still stand.
+     * Assigns the guaranteed shape to every account, keeping slices of {@code previous} that still fit.
      *
-     * @param places targets that can be used now
+     * @param places the targets that can be used now
      */
     public static Shares assign(Configuration configuration, String dataCentre, List<Place> places, Shares previous) {
         Guarantee guarantee = configuration.guaranteeOf(dataCentre).orElse(null);
         if (guarantee == null) {
             return NONE;
         }
-        return new Assignment(guarantee.shape(), places).run(configuration.accounts(), previous);
+        return new Assignment(guarantee.shape(), places).assign(configuration.accounts(), previous);
     }
 
     /** Returns the slices of {@code account}. */
@@ -75,22 +78,22 @@
         return byAccount.get(account);
     }
 
-    /** Returns the units that each account owns on {@code target}. */
+    /** Returns the number of accelerators that each account owns on {@code target}, by account. */
     public Map<String, Integer> on(String target) {
         return byTarget.getOrDefault(target, Map.of());
     }
 
-    /** Returns how many slices of {@code account}'s guarantee could not be assigned. */
+    /** Returns the number of slices of the guarantee of {@code account} that could not be assigned. */
     public int owed(String account) {
         return owed.getOrDefault(account, 0);
     }
 
-    /** Returns the slices owed to all accounts together. */
+    /** Returns the number of guaranteed slices of all accounts that could not be assigned. */
     public int owed() {
         return owed.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** One run of the assignment; confined to one thread. */
+    /** Computes one assignment. Not thread-safe. */
     private static final class Assignment {
         private final Shape shape;
         private final Map<String, Place> places;
@@ -104,37 +107,41 @@
             places.forEach(p -> this.places.put(p.target(), p));
         }
 
-        Shares run(List<ClientAccount> accounts, Shares previous) {
+        Shares assign(List<ClientAccount> accounts, Shares previous) {
+            // All accounts keep their slices before any account gets new ones, so that no new slice displaces an old
+            // one.
             Map<String, List<String>> kept = new HashMap<>();
             for (ClientAccount account : accounts) {
-                kept.put(account.name(), keep(account.name(), previous));
+                kept.put(account.name(), keepPreviousSlices(account.name(), previous));
             }
             for (ClientAccount account : accounts) {
-                complete(account.name(), kept.get(account.name()));
+                assignMissingSlices(account.name(), kept.get(account.name()));
             }
             return new Shares(slices.build(), owed.build());
         }
 
-        private List<String> keep(String account, Shares previous) {
+        /** Returns the targets on which {@code account} keeps its slice of {@code previous}. */
+        private List<String> keepPreviousSlices(String account, Shares previous) {
             List<String> kept = new ArrayList<>();
             for (Slice slice : previous.of(account)) {
-                if (kept.size() < shape.targets() && room(account, places.get(slice.target())) >= 0) {
-                    own(account, slice.target());
+                if (kept.size() < shape.targets() && remainingCapacity(account, places.get(slice.target())) >= 0) {
+                    assignSlice(account, slice.target());
                     kept.add(slice.target());
                 }
             }
             return kept;
         }
 
-        private void complete(String account, List<String> kept) {
-            List<String> chosen = extend(account, kept);
+        /** Assigns slices until the shape is complete, starting over without {@code kept} if only that completes it. */
+        private void assignMissingSlices(String account, List<String> kept) {
+            List<String> chosen = chooseTargets(account, kept);
             if (chosen.size() < shape.targets() && !kept.isEmpty()) {
                 kept.forEach(t -> owned.get(t).remove(account));
-                List<String> fresh = extend(account, List.of());
+                List<String> fresh = chooseTargets(account, List.of());
                 chosen = fresh.size() == shape.targets() ? fresh : chosen;
             }
             for (String target : chosen) {
-                own(account, target);
+                assignSlice(account, target);
                 slices.put(account, new Slice(account, target, shape.acceleratorsPerTarget()));
             }
             if (chosen.size() < shape.targets()) {
@@ -142,10 +149,13 @@
             }
         }
 
-        /** Returns {@code kept} with as many further targets as the shape needs and one rack or all racks can give. */
-        private List<String> extend(String account, List<String> kept) {
+        /**
+         * Returns {@code kept} and as many further targets as the shape needs, or fewer if its adjacency or the
+         * capacity does not allow that many.
+         */
+        private List<String> chooseTargets(String account, List<String> kept) {
             if (shape.adjacency() == Adjacency.SAME_DATA_CENTRE) {
-                return fill(account, kept, places.values());
+                return addTargets(account, kept, places.values());
             }
             List<String> best = kept;
             Map<String, List<Place>> racks = places.values().stream()
@@ -155,49 +165,58 @@
                 if (!inRack.containsAll(kept)) {
                     continue;
                 }
-                List<String> filled = fill(account, kept, rack);
-                if (filled.size() > best.size()) {
-                    best = filled;
+                List<String> extended = addTargets(account, kept, rack);
+                if (extended.size() > best.size()) {
+                    best = extended;
                 }
             }
             return best;
         }
 
-        /** Prefers the targets with the least room left, so that whole targets stay unowned. */
-        private List<String> fill(String account, List<String> kept, Iterable<Place> from) {
+        /**
+         * Returns {@code kept} and as many targets of {@code available} as the shape needs. Prefers the targets with
+         * the least remaining capacity (best fit), so that whole targets stay unassigned.
+         */
+        private List<String> addTargets(String account, List<String> kept, Iterable<Place> available) {
             List<Place> candidates = new ArrayList<>();
-            for (Place place : from) {
-                if (!kept.contains(place.target()) && room(account, place) >= 0) {
+            for (Place place : available) {
+                if (!kept.contains(place.target()) && remainingCapacity(account, place) >= 0) {
                     candidates.add(place);
                 }
             }
-            candidates.sort(Comparator.comparingInt((Place p) -> room(account, p)));
-            List<String> filled = new ArrayList<>(kept);
+            candidates.sort(Comparator.comparingInt((Place p) -> remainingCapacity(account, p)));
+            List<String> chosen = new ArrayList<>(kept);
             for (Place place : candidates) {
-                if (filled.size() == shape.targets()) {
+                if (chosen.size() == shape.targets()) {
                     break;
                 }
-                filled.add(place.target());
+                chosen.add(place.target());
             }
-            return filled;
+            return chosen;
         }
 
-        private void own(String account, String target) {
+        private void assignSlice(String account, String target) {
             owned.computeIfAbsent(target, t -> new HashMap<>()).put(account, shape.acceleratorsPerTarget());
         }
 
-        /** Returns the accelerators left on {@code place} once {@code account} owns a slice; negative if none. */
-        private int room(String account, Place place) {
+        /**
+         * Returns the accelerators that remain on {@code place} if {@code account} owns a slice there; negative if the
+         * slice does not fit or {@code place} is null.
+         */
+        private int remainingCapacity(String account, Place place) {
             if (place == null) {
                 return -1;
             }
-            Map<String, Integer> slicesHere = new HashMap<>(owned.getOrDefault(place.target(), Map.of()));
-            slicesHere.put(account, shape.acceleratorsPerTarget());
-            return place.capacity() - committed(slicesHere, place.irrevocable());
+            Map<String, Integer> units = new HashMap<>(owned.getOrDefault(place.target(), Map.of()));
+            units.put(account, shape.acceleratorsPerTarget());
+            return place.capacity() - committed(units, place.irrevocable());
         }
     }
 
-    /** Returns the units that must stay available when each account keeps the larger of the two amounts. */
+    /**
+     * Returns the accelerators committed on a target: for each account, the larger of what it owns and what its
+     * irrevocable work uses.
+     */
     public static int committed(Map<String, Integer> owned, Map<String, Integer> irrevocable) {
         int sum = 0;
         for (Map.Entry<String, Integer> entry : owned.entrySet()) {
--- a/acacia-core/src/main/java/org/acaciaport/config/Slice.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/Slice.java
@@ -1,12 +1,12 @@
 package org.acaciaport.config;
 
 /**
- * The part of one target that an account owns.
+ * The accelerators of one target that are guaranteed to one client account.
  *
  * <p>Immutable.
  *
- * @param account owner
+ * @param account name of the client account
  * @param target identifier of the target
- * @param units accelerators owned there
+ * @param units number of accelerators
  */
 public record Slice(String account, String target, int units) {}
--- a/acacia-core/src/main/java/org/acaciaport/config/Target.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/Target.java
@@ -1,19 +1,19 @@
 package org.acaciaport.config;
 
 /**
- * A back end that runs tasks.
+ * A back-end server that runs tasks.
  *
  * <p>Immutable.
  *
  * @param id unique name
  * @param dataCentre name of its data centre
- * @param rack name of its rack, unique over all data centres
- * @param address base URI of its task interface, with an IP number
+ * @param rack name of its rack, unique across all data centres
+ * @param address base URI of its task interface; the host is an IP address
  * @param processors number of processors
  * @param memoryMb memory in mebibytes
  * @param accelerators number of accelerators
- * @param slots most tasks at once
- * @param connections most open connections to it from one process
+ * @param slots maximum number of tasks at a time
+ * @param connections maximum number of open connections to it from one process
  */
 public record Target(
         String id,
--- a/acacia-core/src/main/java/org/acaciaport/config/Treatment.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/Treatment.java
@@ -1,11 +1,11 @@
 package org.acaciaport.config;
 
-/** What may be done to running work to take its accelerators back, in the order in which it is tried. */
+/** A way to preempt running work and reclaim its accelerators, in the order in which the ways are tried. */
 public enum Treatment {
-    /** Saves the work's state and ends it; it resumes later, on any target. */
+    /** Saves the state of the work and ends it; the work resumes later from that state, on any target. */
     CHECKPOINT,
-    /** Pauses the work on its target without accelerators; it resumes there. */
+    /** Pauses the work and frees its accelerators; the work resumes later on the same target. */
     THROTTLE,
-    /** Ends the work; it starts again from its beginning. */
+    /** Ends the work without saving its state; the work restarts from the beginning. */
     STOP
 }
--- a/acacia-core/src/main/java/org/acaciaport/config/package-info.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The operators' published configuration: data centres, targets, client accounts, guarantees and profiles.
+ * The configuration that operators publish: data centres, targets, client accounts, guarantees and profiles.
  *
- * <p>Start with {@link org.acaciaport.config.Configuration}; {@link org.acaciaport.config.ConfigurationCheck} says what
- * makes one acceptable and {@link org.acaciaport.config.ActiveConfiguration} is what the programs act on.
+ * <p>Start with {@link org.acaciaport.config.Configuration}. {@link org.acaciaport.config.ConfigurationCheck} validates
+ * one, and {@link org.acaciaport.config.ActiveConfiguration} is the revision in force.
  */
 package org.acaciaport.config;
