--- a/acacia-core/src/main/java/org/acaciaport/directory/Directory.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/Directory.java
@@ -12,10 +12,12 @@
 import org.pcollections.PMap;
 
 /**
- * The state that follows from the log up to an offset. Every process that applies the same entries holds the same.
+ * The state that results from replaying the platform's log up to an offset: the configuration in force, the leaders
+ * and the requests. Replay is deterministic, so all processes that have applied the same entries have the same state.
  *
- * <p>Immutable, so any thread may read it. The revision and the epoch of a leader never decrease, a key never changes
- * its request, and a request never changes its outcome.
+ * <p>Immutable and thus thread-safe. {@link #apply} returns the next state. The configuration revision and the epoch of
+ * each leader never decrease, an idempotency key always refers to the same request, and the outcome of a request never
+ * changes.
  */
 public final class Directory {
     /** The state before the first entry. */
@@ -27,39 +29,39 @@
             HashTreePMap.empty(),
             HashTreePMap.empty());
 
-    private final long next;
+    private final long nextOffset;
     private final ActiveConfiguration active;
     private final PMap<String, Leader> leaders;
     private final PMap<String, RequestState> requests;
-    private final PMap<String, String> keys;
-    private final PMap<String, Long> sequences;
+    private final PMap<String, String> requestIdsByKey;
+    private final PMap<String, Long> lastSequences;
 
     private Directory(
-            long next,
+            long nextOffset,
             ActiveConfiguration active,
             PMap<String, Leader> leaders,
             PMap<String, RequestState> requests,
-            PMap<String, String> keys,
-            PMap<String, Long> sequences) {
-        this.next = next;
+            PMap<String, String> requestIdsByKey,
+            PMap<String, Long> lastSequences) {
+        this.nextOffset = nextOffset;
         this.active = active;
         this.leaders = leaders;
         this.requests = requests;
-        this.keys = keys;
-        this.sequences = sequences;
+        this.requestIdsByKey = requestIdsByKey;
+        this.lastSequences = lastSequences;
     }
 
     /**
-     * A directory after one more entry.
+     * The result of applying an entry.
      *
-     * @param directory the new state
-     * @param verdict what became of the entry
+     * @param directory the next state
+     * @param verdict whether the entry took effect
      */
     public record ApplyResult(Directory directory, Verdict verdict) {}
 
     /** Returns the offset of the first entry not yet applied. */
     public long nextOffset() {
-        return next;
+        return nextOffset;
     }
 
     /** Returns the configuration in force. */
@@ -67,62 +69,68 @@
         return active;
     }
 
-    /** Returns who leads {@code dataCentre}, or null if nobody ever did. */
+    /** Returns the last leader of {@code dataCentre}, or null if it never had one. */
     public Leader leader(String dataCentre) {
         return leaders.get(dataCentre);
     }
 
-    /** Returns what is known of the request called {@code id}, or null. */
+    /** Returns the state of the request with identifier {@code id}, or null if there is none. */
     public RequestState request(String id) {
         return requests.get(id);
     }
 
-    /** Returns all requests known. */
+    /** Returns the states of all requests. */
     public Iterable<RequestState> requests() {
         return requests.values();
     }
 
-    /** Returns the request for which {@code account} used {@code key}, or null. */
+    /** Returns the state of the request for which {@code account} used the idempotency key {@code key}, or null. */
     public RequestState requestByKey(String account, String key) {
-        String id = keys.get(keyOf(account, key));
+        String id = requestIdsByKey.get(qualifiedKey(account, key));
         return id == null ? null : requests.get(id);
     }
 
-    /** Applies the entry at {@link #nextOffset}, or at a higher offset if entries between have expired. */
+    /**
+     * Applies an entry and returns the next state. The offset of the entry must be {@link #nextOffset}, or higher if
+     * the entries in between have expired.
+     *
+     * <p>An entry takes no effect if its writer has appended an entry with the same or a higher sequence number before:
+     * a writer repeats an append whose result it does not know, and both copies may be on the log.
+     */
     public ApplyResult apply(LogEntry entry) {
-        long last = sequences.getOrDefault(entry.writer(), 0L);
-        Directory seen = new Directory(
+        long lastSequence = lastSequences.getOrDefault(entry.writer(), 0L);
+        Directory advanced = new Directory(
                 entry.offset() + 1,
                 active,
                 leaders,
                 requests,
-                keys,
-                sequences.plus(entry.writer(), Math.max(last, entry.sequence())));
-        if (entry.sequence() <= last) {
-            return new ApplyResult(seen, new Verdict.Void("the append was repeated; the first one counts"));
+                requestIdsByKey,
+                lastSequences.plus(entry.writer(), Math.max(lastSequence, entry.sequence())));
+        if (entry.sequence() <= lastSequence) {
+            return new ApplyResult(advanced, new Verdict.Void("the append was repeated; the first one counts"));
         }
         return switch (entry.record()) {
-            case LogRecord.Published published -> seen.publish(entry.offset(), published);
-            case LogRecord.ServiceChanged change -> seen.changeService(entry.offset(), change);
-            case LogRecord.Led led -> seen.lead(entry.offset(), led);
-            case LogRecord.Resigned resigned -> seen.resign(resigned);
-            case LogRecord.Accepted accepted -> seen.accept(accepted);
-            case LogRecord.Intended intended -> seen.intend(intended);
-            case LogRecord.Voided voided -> seen.voidAttempt(voided);
-            case LogRecord.Finished finished -> seen.finish(finished);
-            case LogRecord.HandedOver handedOver -> seen.handOver(handedOver);
+            case LogRecord.Published published -> advanced.publish(entry.offset(), published);
+            case LogRecord.ServiceChanged change -> advanced.changeService(entry.offset(), change);
+            case LogRecord.Led led -> advanced.lead(entry.offset(), led);
+            case LogRecord.Resigned resigned -> advanced.resign(resigned);
+            case LogRecord.Accepted accepted -> advanced.accept(accepted);
+            case LogRecord.Intended intended -> advanced.intend(intended);
+            case LogRecord.Voided voided -> advanced.voidAttempt(voided);
+            case LogRecord.Finished finished -> advanced.finish(finished);
+            case LogRecord.HandedOver handedOver -> advanced.handOver(handedOver);
         };
     }
 
     private ApplyResult publish(long offset, LogRecord.Published published) {
         if (published.base() != active.revision()) {
-            return refuse("based on revision " + published.base() + " but " + active.revision()
+            return reject("based on revision " + published.base() + " but " + active.revision()
                     + " is in force; read it, merge and publish again");
         }
         try {
             ConfigurationCheck.check(published.configuration());
         } catch (ConfigurationException e) {
-            return refuse(e.getMessage());
+            return reject(e.getMessage());
         }
         Set<String> out = new HashSet<>(active.out());
         out.removeIf(name -> !published.configuration().hasDataCentre(name));
@@ -131,12 +139,12 @@
 
     private ApplyResult changeService(long offset, LogRecord.ServiceChanged change) {
         if (!active.configuration().hasDataCentre(change.dataCentre())) {
-            return refuse("unknown data centre '" + change.dataCentre() + "'; 'acaciactl dc list' shows them");
+            return reject("unknown data centre '" + change.dataCentre() + "'; 'acaciactl dc list' shows them");
         }
         Set<String> out = new HashSet<>(active.out());
         boolean changed = change.out() ? out.add(change.dataCentre()) : out.remove(change.dataCentre());
         if (!changed) {
-            return refuse("data centre '" + change.dataCentre() + "' is already " + (change.out() ? "out" : "in"));
+            return reject("data centre '" + change.dataCentre() + "' is already " + (change.out() ? "out" : "in"));
         }
         return applied(withActive(new ActiveConfiguration(offset, active.configuration(), out)));
     }
@@ -144,83 +152,89 @@
     private ApplyResult lead(long offset, LogRecord.Led led) {
         Leader leader = leaders.get(led.dataCentre());
         long epoch = leader == null ? 0 : leader.epoch();
-        boolean begins = led.epoch() == epoch + 1;
-        boolean goesOn =
+        boolean newEpoch = led.epoch() == epoch + 1;
+        boolean renewal =
                 leader != null && led.epoch() == epoch && led.holder().equals(leader.holder()) && !leader.resigned();
-        if (!begins && !goesOn) {
-            return refuse("epoch " + epoch + " is held by " + leader.holder() + "; wait for its lease to end");
+        if (!newEpoch && !renewal) {
+            return reject("epoch " + epoch + " is held by " + leader.holder() + "; wait for its lease to end");
         }
-        Leader next = new Leader(led.epoch(), led.holder(), led.address(), offset, false);
-        return applied(withLeaders(leaders.plus(led.dataCentre(), next)));
+        Leader updated = new Leader(led.epoch(), led.holder(), led.address(), offset, false);
+        return applied(withLeaders(leaders.plus(led.dataCentre(), updated)));
     }
 
     private ApplyResult resign(LogRecord.Resigned resigned) {
         Leader leader = leaders.get(resigned.dataCentre());
         if (leader == null || leader.epoch() != resigned.epoch() || leader.resigned()) {
-            return refuse("that epoch is over");
+            return reject("the epoch has ended");
         }
-        Leader next = new Leader(leader.epoch(), leader.holder(), leader.address(), leader.offset(), true);
-        return applied(withLeaders(leaders.plus(resigned.dataCentre(), next)));
+        Leader updated = new Leader(leader.epoch(), leader.holder(), leader.address(), leader.offset(), true);
+        return applied(withLeaders(leaders.plus(resigned.dataCentre(), updated)));
     }
 
     private ApplyResult accept(LogRecord.Accepted accepted) {
         Request request = accepted.request();
-        String key = keyOf(request.account(), request.key());
+        String key = qualifiedKey(request.account(), request.key());
         RequestState original = requestByKey(request.account(), request.key());
         if (original != null) {
             return new ApplyResult(this, new Verdict.KeyUsed(original));
         }
-        RequestState entry =
+        RequestState state =
                 new RequestState(request, accepted.payloadHash(), accepted.dataCentre(), null, false, null);
         return applied(new Directory(
-                next, active, leaders, requests.plus(request.id(), entry), keys.plus(key, request.id()), sequences));
+                nextOffset,
+                active,
+                leaders,
+                requests.plus(request.id(), state),
+                requestIdsByKey.plus(key, request.id()),
+                lastSequences));
     }
 
     private ApplyResult intend(LogRecord.Intended intended) {
-        RequestState entry = requests.get(intended.request());
+        RequestState state = requests.get(intended.request());
         Leader leader = leaders.get(intended.dataCentre());
-        if (entry == null || entry.outcome() != null || entry.intent() != null) {
-            return refuse("the request is unknown, finished or has an attempt already");
+        if (state == null || state.outcome() != null || state.intent() != null) {
+            return reject("the request is unknown, finished or already has an attempt");
         }
-        if (!entry.home().equals(intended.dataCentre()) || leader == null || leader.epoch() != intended.epoch()) {
-            return refuse("the request or the leadership has passed to another scheduler");
+        if (!state.home().equals(intended.dataCentre()) || leader == null || leader.epoch() != intended.epoch()) {
+            return reject("the request or the leadership has passed to another scheduler");
         }
-        return applied(with(entry.withIntent(intended)));
+        return applied(with(state.withIntent(intended)));
     }
 
     private ApplyResult voidAttempt(LogRecord.Voided voided) {
-        RequestState entry = requests.get(voided.request());
-        if (entry == null
-                || entry.intent() == null
-                || entry.intent().attempt() != voided.attempt()
-                || entry.outcome() != null) {
-            return refuse("no such attempt stands");
+        RequestState state = requests.get(voided.request());
+        if (state == null
+                || state.intent() == null
+                || state.intent().attempt() != voided.attempt()
+                || state.outcome() != null) {
+            return reject("the request has no such attempt");
         }
-        return applied(with(entry.withoutIntent(voided.checkpointed())));
+        return applied(with(state.withoutIntent(voided.checkpointed())));
     }
 
     private ApplyResult finish(LogRecord.Finished finished) {
-        RequestState entry = requests.get(finished.request());
-        if (entry == null || entry.outcome() != null) {
-            return refuse("the request is unknown or finished");
+        RequestState state = requests.get(finished.request());
+        if (state == null || state.outcome() != null) {
+            return reject("the request is unknown or finished");
         }
-        return applied(with(entry.withOutcome(finished.outcome())));
+        return applied(with(state.withOutcome(finished.outcome())));
     }
 
     private ApplyResult handOver(LogRecord.HandedOver handedOver) {
-        RequestState entry = requests.get(handedOver.request());
-        boolean movable = entry != null
-                && entry.outcome() == null
-                && entry.intent() == null
-                && entry.home().equals(handedOver.from())
+        RequestState state = requests.get(handedOver.request());
+        boolean transferable = state != null
+                && state.outcome() == null
+                && state.intent() == null
+                && state.home().equals(handedOver.from())
                 && active.configuration().hasDataCentre(handedOver.to());
-        if (!movable) {
-            return refuse("the request is unknown, started, finished or elsewhere");
+        if (!transferable) {
+            return reject(
+                    "the request is unknown, started, finished or in another data centre, or the new one is unknown");
         }
-        return applied(with(entry.withHome(handedOver.to())));
+        return applied(with(state.withHome(handedOver.to())));
     }
 
-    private ApplyResult refuse(String reason) {
+    private ApplyResult reject(String reason) {
         return new ApplyResult(this, new Verdict.Void(reason));
     }
 
@@ -228,20 +242,25 @@
         return new ApplyResult(directory, new Verdict.Applied());
     }
 
-    private Directory with(RequestState entry) {
+    private Directory with(RequestState state) {
         return new Directory(
-                next, active, leaders, requests.plus(entry.request().id(), entry), keys, sequences);
+                nextOffset,
+                active,
+                leaders,
+                requests.plus(state.request().id(), state),
+                requestIdsByKey,
+                lastSequences);
     }
 
     private Directory withActive(ActiveConfiguration nextActive) {
-        return new Directory(next, nextActive, leaders, requests, keys, sequences);
+        return new Directory(nextOffset, nextActive, leaders, requests, requestIdsByKey, lastSequences);
     }
 
     private Directory withLeaders(PMap<String, Leader> nextLeaders) {
-        return new Directory(next, active, nextLeaders, requests, keys, sequences);
+        return new Directory(nextOffset, active, nextLeaders, requests, requestIdsByKey, lastSequences);
     }
 
-    private static String keyOf(String account, String key) {
+    private static String qualifiedKey(String account, String key) {
         return account + '/' + key;
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/directory/RequestState.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/RequestState.java
@@ -5,15 +5,15 @@
 import org.acaciaport.request.Request;
 
 /**
- * What the log says of one request.
+ * The state of one request, as recorded on the log.
  *
  * <p>Immutable.
  *
  * @param request the request
  * @param payloadHash hash of profile and payload
- * @param home data centre that answers for it
- * @param intent its intended attempt; null if none stands
- * @param checkpointed whether a saved state exists from which it resumes
+ * @param home name of the data centre that is responsible for it
+ * @param intent the record of its current attempt; null if none is recorded
+ * @param checkpointed whether a checkpoint exists from which the next attempt resumes
  * @param outcome its final answer; null if none yet
  */
 public record RequestState(
@@ -23,19 +23,19 @@
         LogRecord.Intended intent,
         boolean checkpointed,
         Outcome outcome) {
-    RequestState withIntent(LogRecord.Intended next) {
-        return new RequestState(request, payloadHash, home, next, checkpointed, outcome);
+    RequestState withIntent(LogRecord.Intended newIntent) {
+        return new RequestState(request, payloadHash, home, newIntent, checkpointed, outcome);
     }
 
-    RequestState withoutIntent(boolean saved) {
-        return new RequestState(request, payloadHash, home, null, checkpointed || saved, outcome);
+    RequestState withoutIntent(boolean newCheckpoint) {
+        return new RequestState(request, payloadHash, home, null, checkpointed || newCheckpoint, outcome);
     }
 
-    RequestState withOutcome(Outcome next) {
-        return new RequestState(request, payloadHash, home, intent, checkpointed, next);
+    RequestState withOutcome(Outcome newOutcome) {
+        return new RequestState(request, payloadHash, home, intent, checkpointed, newOutcome);
     }
 
-    RequestState withHome(String next) {
-        return new RequestState(request, payloadHash, next, intent, checkpointed, outcome);
+    RequestState withHome(String newHome) {
+        return new RequestState(request, payloadHash, newHome, intent, checkpointed, outcome);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/directory/Verdict.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/Verdict.java
@@ -1,21 +1,21 @@
 package org.acaciaport.directory;
 
-/** What became of one record when it was applied. All variants are immutable. */
+/** Whether a log record took effect when it was applied. All variants are immutable. */
 public sealed interface Verdict {
-    /** It took effect. */
+    /** The record took effect. */
     record Applied() implements Verdict {}
 
     /**
-     * It changed nothing.
+     * The record had no effect.
      *
-     * @param reason why, and what to do
+     * @param reason why it had none, and what to do about it where something can be done
      */
     record Void(String reason) implements Verdict {}
 
     /**
-     * The account had used the key before.
+     * The record had no effect because the client account has used the idempotency key before.
      *
-     * @param original what the log says of the first use
+     * @param original the request for which the key was used first
      */
     record KeyUsed(RequestState original) implements Verdict {}
 
--- a/acacia-core/src/main/java/org/acaciaport/directory/package-info.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What the log says, replayed in order: {@link org.acaciaport.directory.Directory} is the state every process derives.
+ * The state that every process derives by replaying the platform's log in order; start with
+ * {@link org.acaciaport.directory.Directory}.
  */
 package org.acaciaport.directory;
--- a/acacia-core/src/main/java/org/acaciaport/log/AppendOutcome.java
+++ b/acacia-core/src/main/java/org/acaciaport/log/AppendOutcome.java
@@ -1,42 +1,42 @@
 package org.acaciaport.log;
 
-/** How an append ended. */
+/** The outcome of an append. */
 public sealed interface AppendOutcome {
     /**
-     * The records are durable.
+     * The records were appended and are durable.
      *
-     * @param offset offset of the first one
+     * @param offset offset of the first record
      */
     record Appended(long offset) implements AppendOutcome {}
 
     /**
-     * Nothing was appended, since the topic ends elsewhere.
+     * Nothing was appended, because the topic does not end at the offset of {@link Append.AtEnd}.
      *
-     * @param end where it ends
+     * @param end the offset at which the topic ends
      */
     record NotAtEnd(long end) implements AppendOutcome {}
 
-    /** Nothing was appended, since a later epoch of the writer was seen. */
+    /** Nothing was appended, because the log has seen a higher epoch of the writer. */
     record Deposed() implements AppendOutcome {}
 
     /**
-     * Nothing was appended, since another sequence number is due.
+     * Nothing was appended, because the sequence number of the append is not the next one.
      *
-     * @param expected that number
+     * @param expected the next sequence number
      */
     record OutOfSequence(long expected) implements AppendOutcome {}
 
     /**
-     * Nothing was appended.
+     * Nothing was appended, for another reason.
      *
-     * @param reason what the log or the connection said
+     * @param reason the error that the log or the connection reported
      */
     record Refused(String reason) implements AppendOutcome {}
 
     /**
-     * The records may be there, or may come to be there seconds later.
+     * It is unknown whether the records were appended. They may still be appended several seconds later.
      *
-     * @param reason why that is not known
+     * @param reason why the outcome is unknown
      */
     record Unknown(String reason) implements AppendOutcome {}
 }
--- a/acacia-core/src/main/java/org/acaciaport/log/KeyedLog.java
+++ b/acacia-core/src/main/java/org/acaciaport/log/KeyedLog.java
@@ -1,19 +1,25 @@
 package org.acaciaport.log;
 
 /**
- * A log that all processes share. Offsets number the records of a topic from 0, without gaps; the newest record of each
- * key is kept, others may expire. What was acknowledged is never lost, and answers are linearizable.
+ * A client of a log that all processes share. The log has topics; the records of a topic are numbered from 0 without
+ * gaps. The log is compacted by key: it retains the newest record of each key, while older ones may expire.
+ * Acknowledged records are never lost, and operations are linearizable.
  *
- * <p>Safe for use by several threads. All calls block until the deadline at the latest, a reading of
- * {@link System#nanoTime}.
+ * <p>Thread-safe. All methods block, but not beyond {@code deadline}, which is a reading of {@link System#nanoTime}.
  */
 public interface KeyedLog {
-    /** Appends records. */
+    /** Appends the records of {@code append} if its condition holds. */
     AppendOutcome append(Append append, long deadline);
 
-    /** Reads on from offset {@code from}; without records, waits for one up to {@code waitMillis} milliseconds. */
+    /**
+     * Reads records from offset {@code from}. If there are none yet, waits up to {@code waitMillis} milliseconds for
+     * one.
+     */
     ReadOutcome read(String topic, long from, long waitMillis, long deadline);
 
-    /** Reads the newest record of the keys after {@code after}, which is empty for the first page. */
+    /**
+     * Reads one page of keys, in order, with the newest record of each. The page starts with the first key greater than
+     * {@code after}, which is empty for the first page.
+     */
     NewestOutcome newest(String topic, String after, long deadline);
 }
--- a/acacia-core/src/main/java/org/acaciaport/log/KeyedRecord.java
+++ b/acacia-core/src/main/java/org/acaciaport/log/KeyedRecord.java
@@ -3,16 +3,16 @@
 /**
  * A record of a {@link KeyedLog}.
  *
- * <p>The value is not copied; callers leave it unchanged.
+ * <p>The value is not copied; callers must not modify it.
  *
- * @param key what the record is about; a later record with the same key replaces it
- * @param value the content; empty to drop the key
+ * @param key compaction key; a later record with the same key supersedes this one
+ * @param value the content; empty in a tombstone, which deletes the key
  */
 public record KeyedRecord(String key, byte[] value) {
-    private static final byte[] EMPTY = {};
+    private static final byte[] NO_VALUE = {};
 
-    /** Returns a record that drops {@code key}. */
+    /** Returns a tombstone, a record that deletes {@code key}. */
     public static KeyedRecord drop(String key) {
-        return new KeyedRecord(key, EMPTY);
+        return new KeyedRecord(key, NO_VALUE);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/log/NewestOutcome.java
+++ b/acacia-core/src/main/java/org/acaciaport/log/NewestOutcome.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** How a read of the newest records ended. */
+/** The outcome of a read of the newest record of each key. */
 public sealed interface NewestOutcome {
     /**
-     * Some of the keys, in order. Pages are not a snapshot.
+     * A page of consecutive keys. Pages are read at different times and together are not a consistent snapshot.
      *
-     * @param items the newest record of each key
+     * @param items the newest record of each key, in key order
      * @param more whether more keys follow
-     * @param end where the topic ended
+     * @param end the offset at which the topic ended when the page was read
      */
     record Page(List<Item> items, boolean more, long end) implements NewestOutcome {
-        /** Copies the list. */
+        /** Makes a defensive copy of {@code items}. */
         public Page {
             items = List.copyOf(items);
         }
@@ -27,9 +27,9 @@
     record Item(KeyedRecord record, long offset) {}
 
     /**
-     * There was no answer.
+     * The log did not reply.
      *
-     * @param reason what the log or the connection said
+     * @param reason the error that the log or the connection reported
      */
     record Unavailable(String reason) implements NewestOutcome {}
 }
--- a/acacia-core/src/main/java/org/acaciaport/log/ReadOutcome.java
+++ b/acacia-core/src/main/java/org/acaciaport/log/ReadOutcome.java
@@ -2,32 +2,32 @@
 
 import java.util.List;
 
-/** How a read ended. */
+/** The outcome of a read. */
 public sealed interface ReadOutcome {
     /**
-     * Records from the offset asked for, without gaps.
+     * Consecutive records from the requested offset.
      *
-     * @param end where the topic ended
-     * @param records the records, perhaps none
+     * @param end the offset at which the topic ended when it was read
+     * @param records the records; may be empty
      */
     record Records(long end, List<KeyedRecord> records) implements ReadOutcome {
-        /** Copies the list. */
+        /** Makes a defensive copy of {@code records}. */
         public Records {
             records = List.copyOf(records);
         }
     }
 
     /**
-     * The records asked for are no longer kept; {@link KeyedLog#newest} has what is left of them.
+     * The record at the requested offset has expired; {@link KeyedLog#newest} returns the records that are retained.
      *
-     * @param first first offset that is kept
+     * @param first the lowest offset that can still be read
      */
     record Expired(long first) implements ReadOutcome {}
 
     /**
-     * There was no answer.
+     * The log did not reply.
      *
-     * @param reason what the log or the connection said
+     * @param reason the error that the log or the connection reported
      */
     record Unavailable(String reason) implements ReadOutcome {}
 }
--- a/acacia-core/src/main/java/org/acaciaport/log/package-info.java
+++ b/acacia-core/src/main/java/org/acaciaport/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A log of keyed records that outlives the processes, as the product needs it.
+ * The interface of a durable, shared log of keyed records.
  *
  * <p>Start with {@link org.acaciaport.log.KeyedLog}.
  */
--- a/acacia-core/src/main/java/org/acaciaport/request/Outcome.java
+++ b/acacia-core/src/main/java/org/acaciaport/request/Outcome.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** The final answer to a request. Exactly one is given for each. All variants are immutable. */
+/** The final outcome of a request. Every request has exactly one. All variants are immutable. */
 public sealed interface Outcome {
     /**
-     * The work ran to its end on every member.
+     * The work completed on all members.
      *
-     * @param answers one for each member, in member order
+     * @param answers the answer of each member, in member order
      */
     record Done(List<MemberAnswer> answers) implements Outcome {
-        /** Copies the list. */
+        /** Makes a defensive copy of {@code answers}. */
         public Done {
             answers = List.copyOf(answers);
         }
@@ -19,32 +19,32 @@
     /**
      * The work started and failed.
      *
-     * @param reason what failed and what the caller can do
+     * @param reason what failed, and what the caller can do
      */
     record Failed(String reason) implements Outcome {}
 
     /**
      * The caller cancelled the request.
      *
-     * @param started whether any member had been told to start
+     * @param started whether any target had been told to start a member
      */
     record Cancelled(boolean started) implements Outcome {}
 
     /**
-     * No member was ever told to start, and none will be.
+     * The request was not run: no target was told to start a member, and none will be.
      *
-     * @param reason why, and what the caller can do
+     * @param reason why it was not run, and what the caller can do
      */
     record NotRun(String reason) implements Outcome {}
 
     /**
-     * The work may have run, in whole or in part, and it cannot be learned.
+     * The work may have run, completely or in part, and it cannot be determined whether it did.
      *
-     * @param reason what is known
+     * @param reason what is known about it
      */
     record Unknown(String reason) implements Outcome {}
 
-    /** Returns the word for this outcome in answers, logs and metrics. */
+    /** Returns the status name of this outcome in replies, logs and metrics. */
     default String word() {
         return switch (this) {
             case Done done -> "done";
