--- a/acacia-ctl/src/test/java/org/acaciaport/ctl/CtlTest.java
+++ b/acacia-ctl/src/test/java/org/acaciaport/ctl/CtlTest.java
@@ -61,7 +61,7 @@
         String errors = errorsOf("config", "check", file.toString());
         assertThat(errors).contains("bad.toml");
         assertThat(errors).contains("'proof' has priority 500");
-        assertThat(errors).contains("use an IP number");
+        assertThat(errors).contains("use an IP address");
     }
 
     @Test
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpCall.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpCall.java
@@ -6,27 +6,30 @@
 import org.acaciaport.wire.Codecs;
 
 /**
- * One HTTP request to a {@link HttpService}.
+ * An HTTP request to a {@link HttpService}.
  *
- * <p>Immutable; the body is not copied.
+ * <p>Immutable, provided that callers do not modify {@code body}, which is not copied.
  *
  * @param method the HTTP method
- * @param path segments of the path, decoded
+ * @param path the decoded, non-empty segments of the path
  * @param query the first value of each query parameter
- * @param body the whole body
+ * @param body the complete body
  */
 public record HttpCall(String method, List<String> path, Map<String, String> query, byte[] body) {
-    /** Returns whether this is {@code method} on a path of {@code length} segments that begins with {@code prefix}. */
-    public boolean matches(String wanted, int length, String... prefix) {
-        return method.equals(wanted)
+    /**
+     * Returns whether the method is {@code expectedMethod} and the path has {@code length} segments and starts with
+     * {@code prefix}.
+     */
+    public boolean matches(String expectedMethod, int length, String... prefix) {
+        return method.equals(expectedMethod)
                 && path.size() == length
                 && path.subList(0, prefix.length).equals(List.of(prefix));
     }
 
     /**
-     * Reads the body as JSON.
+     * Parses the body as JSON.
      *
-     * @throws HttpProblem if it is not a JSON object of that shape
+     * @throws HttpProblem if the body is not JSON that can be converted to {@code type}
      */
     public <T> T read(Class<T> type) throws HttpProblem {
         try {
@@ -41,24 +44,24 @@
     }
 
     /**
-     * Returns the query parameter {@code name} as a number.
+     * Returns the value of the query parameter {@code name}, or {@code defaultValue} if it is missing.
      *
-     * @throws HttpProblem if it is not a number from 0 to {@code most}
+     * @throws HttpProblem if the value is not a whole number from 0 to {@code max}
      */
-    public long longParameter(String name, long absent, long most) throws HttpProblem {
+    public long longParameter(String name, long defaultValue, long max) throws HttpProblem {
         String text = query.get(name);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             long value = Long.parseLong(text);
-            if (value >= 0 && value <= most) {
+            if (value >= 0 && value <= max) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Reported below like a number out of range.
+            // Falls through to the exception for a number out of range.
         }
         throw HttpProblem.invalid(
-                "query parameter " + name + " = '" + text + "'", "use a whole number from 0 to " + most);
+                "query parameter " + name + " = '" + text + "'", "use a whole number from 0 to " + max);
     }
 }
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpPlatform.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpPlatform.java
@@ -10,63 +10,71 @@
 import org.acaciaport.record.LogRecord;
 
 /**
- * The platform's log and VM list over HTTP.
+ * A client of the platform's log and VM list over HTTP.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class HttpPlatform implements PlatformLog, VmList {
-    private static final long CALL_MILLIS = 2_000;
+    private static final long CALL_TIMEOUT_MILLIS = 2_000;
 
     private final JsonClient client;
     private final String base;
 
-    /** Creates an adapter to the platform at {@code base}, such as {@code http://10.0.0.1:7000}. */
+    /** Creates a client of the platform at {@code base}, such as {@code http://10.0.0.1:7000}. */
     public HttpPlatform(JsonClient client, String base) {
         this.client = client;
         this.base = base;
     }
 
     /**
-     * Body of an append.
+     * Body of an append request.
      *
      * @param writer unique name of the process
-     * @param sequence number of the first record
+     * @param sequence sequence number of the first record
      * @param records the records
      */
     public record Append(String writer, long sequence, List<LogRecord> records) {}
 
-    /** Answer to an append: the offset of its first record. */
+    /**
+     * Response to an append.
+     *
+     * @param offset offset of the first record appended
+     */
     public record Appended(long offset) {}
 
     /**
-     * Answer to a read.
+     * Response to a read.
      *
-     * @param entries entries in order
-     * @param first lowest offset kept
-     * @param end offset after the newest entry
+     * @param entries the entries in the order of their offsets
+     * @param first lowest offset that the log retains
+     * @param end the offset after the newest entry
      */
     public record Entries(List<LogEntry> entries, long first, long end) {}
 
     /**
-     * One VM on the list.
+     * A VM on the list.
      *
-     * @param id its identifier
+     * @param id identifier of the VM
      * @param state {@code live} or {@code leaving}
      */
     public record Vm(String id, String state) {}
 
-    /** Answer to a read of the list. */
+    /**
+     * Response to a read of the VM list.
+     *
+     * @param vms all VMs on the list
+     */
     public record Vms(List<Vm> vms) {}
 
     @Override
     public void append(String writer, long sequence, List<LogRecord> records) throws PlatformException {
-        client.post(base + "/log/append", new Append(writer, sequence, records), Appended.class, CALL_MILLIS);
+        client.post(base + "/log/append", new Append(writer, sequence, records), Appended.class, CALL_TIMEOUT_MILLIS);
     }
 
     @Override
-    public Page read(long from, int most, long waitMillis) throws PlatformException {
-        String uri = base + "/log/read?from=" + from + "&most=" + most + "&wait=" + waitMillis;
-        Entries entries = JsonClient.requireSuccess(uri, client.get(uri, CALL_MILLIS + waitMillis))
+    public Page read(long from, int limit, long waitMillis) throws PlatformException {
+        String uri = base + "/log/read?from=" + from + "&most=" + limit + "&wait=" + waitMillis;
+        Entries entries = JsonClient.requireSuccess(uri, client.get(uri, CALL_TIMEOUT_MILLIS + waitMillis))
                 .read(Entries.class);
         return new Page(entries.entries(), entries.first(), entries.end());
     }
@@ -74,7 +82,7 @@
     @Override
     public Set<String> leaving() throws PlatformException {
         String uri = base + "/vms";
-        return JsonClient.requireSuccess(uri, client.get(uri, CALL_MILLIS)).read(Vms.class).vms().stream()
+        return JsonClient.requireSuccess(uri, client.get(uri, CALL_TIMEOUT_MILLIS)).read(Vms.class).vms().stream()
                 .filter(vm -> vm.state().equals("leaving"))
                 .map(Vm::id)
                 .collect(Collectors.toSet());
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpReply.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpReply.java
@@ -1,12 +1,12 @@
 package org.acaciaport.http;
 
 /**
- * What a {@link HttpService} answers.
+ * The response of a {@link HttpService}.
  *
  * <p>Immutable.
  *
  * @param status the HTTP status
- * @param body the record to send as JSON
+ * @param body the object to send as JSON
  */
 public record HttpReply(int status, Object body) {
     private static final int OK = 200;
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpService.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpService.java
@@ -1,11 +1,11 @@
 package org.acaciaport.http;
 
-/** Answers HTTP requests. Called by several threads at once; may block. */
+/** Handles HTTP requests. Implementations must be thread-safe and may block. */
 public interface HttpService {
     /**
-     * Answers one request.
+     * Handles one request.
      *
-     * @throws HttpProblem to answer with an error
+     * @throws HttpProblem if the response is an error
      */
     HttpReply answer(HttpCall call) throws HttpProblem;
 }
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpStartException.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpStartException.java
@@ -1,6 +1,6 @@
 package org.acaciaport.http;
 
-/** Thrown when a server cannot start; the message names the address and the remedy. */
+/** Thrown when an HTTP server or client cannot start. The message says why and what to do. */
 public final class HttpStartException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpTargetClient.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpTargetClient.java
@@ -6,65 +6,69 @@
 import org.acaciaport.platform.TargetClient;
 
 /**
- * The targets' task interface over HTTP.
+ * A client of the targets' task interface over HTTP.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class HttpTargetClient implements TargetClient {
-    private static final long CALL_MILLIS = 1_000;
+    private static final long CALL_TIMEOUT_MILLIS = 1_000;
 
     private final JsonClient client;
 
-    /** Creates an adapter that sends through {@code client}. */
+    /** Creates a client that sends its calls with {@code client}. */
     public HttpTargetClient(JsonClient client) {
         this.client = client;
     }
 
     /**
-     * Body of a poll.
+     * Body of a poll request.
      *
      * @param epoch epoch of the caller
-     * @param since version of the last report read
-     * @param waitMillis how long to wait for a change
-     * @param leaseMillis how long work goes on without another poll
+     * @param since version of the last report read; 0 to read all tasks
+     * @param waitMillis longest time to wait for a change, in milliseconds
+     * @param leaseMillis duration of the renewed lease, in milliseconds
      */
     public record Poll(long epoch, long since, long waitMillis, long leaseMillis) {}
 
     /**
-     * Body of a reservation.
+     * Body of a reservation request.
      *
-     * @param place the place to hold
-     * @param holdMillis how long to hold it
+     * @param place the place to reserve
+     * @param holdMillis duration of the reservation, in milliseconds
      */
     public record Reserve(Place place, long holdMillis) {}
 
     /**
-     * Body of a start.
+     * Body of a start request.
      *
      * @param place the place
-     * @param work what to run
-     * @param incarnation incarnation of the target that is meant
-     * @param startBefore latest time of the start on the target's clock
+     * @param work the input of the task
+     * @param incarnation the expected incarnation of the target
+     * @param startBefore deadline of the start, in milliseconds on the target's clock
      */
     public record Start(Place place, Work work, String incarnation, long startBefore) {}
 
     /**
-     * Body of a treatment.
+     * Body of a request to checkpoint, throttle or stop a task.
      *
      * @param place the place
-     * @param treatment what to do
-     * @param incarnation incarnation of the target that is meant
+     * @param treatment what to do with the task
+     * @param incarnation the expected incarnation of the target
      */
     public record Treat(Place place, Treatment treatment, String incarnation) {}
 
-    /** Answer of a target that did what was asked. */
+    /**
+     * Response to a call that succeeded.
+     *
+     * @param clock reading of the target's clock, in milliseconds
+     */
     public record Acknowledgement(long clock) {}
 
     @Override
     public Report poll(Target target, long epoch, long since, long waitMillis, long leaseMillis)
             throws PlatformException {
         Poll poll = new Poll(epoch, since, waitMillis, leaseMillis);
-        return client.post(target.address() + "/poll", poll, Report.class, CALL_MILLIS + waitMillis);
+        return client.post(target.address() + "/poll", poll, Report.class, CALL_TIMEOUT_MILLIS + waitMillis);
     }
 
     @Override
@@ -94,6 +98,6 @@
     }
 
     private void call(Target target, String path, Object body) throws PlatformException {
-        client.post(target.address() + path, body, Acknowledgement.class, CALL_MILLIS);
+        client.post(target.address() + path, body, Acknowledgement.class, CALL_TIMEOUT_MILLIS);
     }
 }
--- a/acacia-platform/src/main/java/org/acaciaport/http/JettyParts.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JettyParts.java
@@ -8,11 +8,11 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Makes the parts that all our HTTP servers have in common. */
+/** Static factory methods for Jetty servers and their connectors. */
 public final class JettyParts {
     private JettyParts() {}
 
-    /** Returns a server without addresses that handles each request on a virtual thread. */
+    /** Returns a new server without connectors that handles each request on a virtual thread. */
     public static Server server(int maxThreads, int minThreads) {
         QueuedThreadPool threads = new QueuedThreadPool(maxThreads, minThreads);
         threads.setVirtualThreadsExecutor(Executors.newVirtualThreadPerTaskExecutor());
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Adds an address to {@code server}.
+     * Adds a connector that listens on {@code address} to {@code server}.
      *
-     * @param idleMillis time after which a connection without a word is closed, in milliseconds
+     * @param idleMillis time after which an idle connection is closed, in milliseconds
      */
     public static ServerConnector listen(Server server, InetSocketAddress address, long idleMillis) {
         HttpConfiguration configuration = new HttpConfiguration();
--- a/acacia-platform/src/main/java/org/acaciaport/http/JsonClient.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JsonClient.java
@@ -16,48 +16,51 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Sends JSON over HTTP and waits for the answer, with a deadline on every call.
+ * A blocking HTTP client for JSON services, with a timeout on every call.
  *
- * <p>Safe for use by several threads. Opens at most {@value #MAX_CONNECTIONS} connections to one address; a connection
- * on which a call timed out is closed, so the next call uses another one.
+ * <p>Thread-safe. Opens at most {@value #MAX_CONNECTIONS} connections to each address. A connection on which a call
+ * timed out is closed, so that the next call uses another one.
  */
 public final class JsonClient implements AutoCloseable {
     private static final String JSON = "application/json";
     private static final byte[] NO_BODY = {};
     private static final int MAX_CONNECTIONS = 64;
-    private static final int MAX_WAITING = 1_024;
-    private static final int MAX_ANSWER_BYTES = 16 << 20;
+    private static final int MAX_QUEUED_REQUESTS = 1_024;
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
     private static final int MAX_THREADS = 8;
-    private static final long CONNECT_MILLIS = 1_000;
-    private static final long IDLE_MILLIS = 60_000;
-    private static final int OK_LIMIT = 300;
+    private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 60_000;
+    private static final int MULTIPLE_CHOICES = 300;
     private static final int CONFLICT = 409;
     private static final int GONE = 410;
     private static final int PRECONDITION_FAILED = 412;
-    private static final int SERVER_ERROR = 500;
+    private static final int INTERNAL_SERVER_ERROR = 500;
 
     private final HttpClient client = new HttpClient();
 
     private JsonClient() {
         client.setExecutor(new QueuedThreadPool(MAX_THREADS, 2));
         client.setMaxConnectionsPerDestination(MAX_CONNECTIONS);
-        client.setMaxRequestsQueuedPerDestination(MAX_WAITING);
-        client.setConnectTimeout(CONNECT_MILLIS);
-        client.setIdleTimeout(IDLE_MILLIS);
+        client.setMaxRequestsQueuedPerDestination(MAX_QUEUED_REQUESTS);
+        client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
+        client.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         client.setFollowRedirects(false);
-        client.setSslContextFactory(new WithoutTls());
+        client.setSslContextFactory(new DisabledTls());
     }
 
-    /** Never set up: all addresses are plain HTTP, and reading the system's certificates takes a tenth of a start. */
-    private static final class WithoutTls extends SslContextFactory.Client {
+    /**
+     * Skips the set-up of TLS. All addresses are plain HTTP, and loading the system's certificates takes a tenth of the
+     * start-up time.
+     */
+    private static final class DisabledTls extends SslContextFactory.Client {
         @Override
         protected void doStart() {
-            // Nothing to set up.
+            // Does not load certificates.
         }
     }
 
     /**
-     * Returns a started client.
+     * Returns a new, started client.
      *
      * @throws HttpStartException if it cannot start
      */
@@ -72,16 +75,16 @@
     }
 
     /**
-     * An answer of any status.
+     * A response with any status.
      *
      * @param status the HTTP status
-     * @param body the whole body
+     * @param body the complete body
      */
     public record Answer(int status, byte[] body) {
         /**
-         * Reads the body as JSON.
+         * Parses the body as JSON.
          *
-         * @throws PlatformException if it has another shape
+         * @throws PlatformException if the body cannot be converted to {@code type}
          */
         public <T> T read(Class<T> type) throws PlatformException {
             try {
@@ -96,18 +99,18 @@
     }
 
     /**
-     * Sends a GET and returns the answer, whatever its status.
+     * Sends a GET request and returns the response, whatever its status.
      *
-     * @throws PlatformException if no answer came within {@code millis} milliseconds
+     * @throws PlatformException if there was no response within {@code millis} milliseconds
      */
     public Answer get(String uri, long millis) throws PlatformException {
         return exchange(new RawCall("GET", uri, Map.of(), JSON, NO_BODY), millis);
     }
 
     /**
-     * Sends {@code body} with {@code method} and returns the answer, whatever its status.
+     * Sends {@code body} as JSON with {@code method} and returns the response, whatever its status.
      *
-     * @throws PlatformException if no answer came within {@code millis} milliseconds
+     * @throws PlatformException if there was no response within {@code millis} milliseconds
      */
     public Answer send(String method, String uri, Object body, long millis) throws PlatformException {
         try {
@@ -120,20 +123,20 @@
     }
 
     /**
-     * A call whose body is not made of records.
+     * A request whose body is already encoded.
      *
      * @param method the HTTP method
-     * @param uri the whole URI
-     * @param headers further headers
+     * @param uri the complete URI
+     * @param headers additional headers
      * @param type media type of the body
      * @param body the body; empty for none
      */
     public record RawCall(String method, String uri, Map<String, String> headers, String type, byte[] body) {}
 
     /**
-     * Sends {@code call} and returns the answer, whatever its status.
+     * Sends {@code call} and returns the response, whatever its status.
      *
-     * @throws PlatformException if no answer came within {@code millis} milliseconds
+     * @throws PlatformException if there was no response within {@code millis} milliseconds
      */
     public Answer exchange(RawCall call, long millis) throws PlatformException {
         Request request = client.newRequest(call.uri()).method(call.method());
@@ -145,25 +148,26 @@
     }
 
     /**
-     * Posts {@code body} and reads the answer.
+     * Posts {@code body} as JSON and parses the response.
      *
-     * @throws PlatformException if no answer came in time or it was an error
+     * @throws PlatformException if there was no response within {@code millis} milliseconds, or it was an error
      */
     public <T> T post(String uri, Object body, Class<T> type, long millis) throws PlatformException {
         return requireSuccess(uri, send("POST", uri, body, millis)).read(type);
     }
 
     /**
-     * Returns {@code answer} if it was a success.
+     * Returns {@code response} if its status is a success.
      *
-     * @throws PlatformException if it was an error; 409, 410 and 412 mean that nothing was done
+     * @throws PlatformException if it is not. The kind follows from the status: 410 is STALE_EPOCH, 412 is EXPIRED, 500
+     *     and above are UNCERTAIN, and all others are NOT_DONE.
      */
-    public static Answer requireSuccess(String uri, Answer answer) throws PlatformException {
-        if (answer.status() < OK_LIMIT) {
-            return answer;
+    public static Answer requireSuccess(String uri, Answer response) throws PlatformException {
+        if (response.status() < MULTIPLE_CHOICES) {
+            return response;
         }
-        String text = "answer " + answer.status() + " from " + uri + ": " + new String(answer.body());
-        throw new PlatformException(kindOf(answer.status()), text, null);
+        String text = "answer " + response.status() + " from " + uri + ": " + new String(response.body());
+        throw new PlatformException(kindOf(response.status()), text, null);
     }
 
     private static PlatformException.Kind kindOf(int status) {
@@ -173,20 +177,21 @@
         if (status == PRECONDITION_FAILED) {
             return PlatformException.Kind.EXPIRED;
         }
-        boolean done = status != CONFLICT && status >= SERVER_ERROR;
-        return done ? PlatformException.Kind.UNCERTAIN : PlatformException.Kind.NOT_DONE;
+        boolean mayHaveTakenEffect = status != CONFLICT && status >= INTERNAL_SERVER_ERROR;
+        return mayHaveTakenEffect ? PlatformException.Kind.UNCERTAIN : PlatformException.Kind.NOT_DONE;
     }
 
     private Answer send(Request request, long millis) throws PlatformException {
         request.timeout(millis, TimeUnit.MILLISECONDS);
         try {
-            ContentResponse response = new CompletableResponseListener(request, MAX_ANSWER_BYTES)
+            ContentResponse response = new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
                     .send()
                     .get();
             return new Answer(response.getStatus(), response.getContent());
         } catch (ExecutionException e) {
-            boolean refused = e.getCause() instanceof ConnectException;
-            PlatformException.Kind kind = refused ? PlatformException.Kind.NOT_DONE : PlatformException.Kind.UNCERTAIN;
+            boolean connectionRefused = e.getCause() instanceof ConnectException;
+            PlatformException.Kind kind =
+                    connectionRefused ? PlatformException.Kind.NOT_DONE : PlatformException.Kind.UNCERTAIN;
             throw new PlatformException(
                     kind, "no answer from " + request.getURI() + " (" + e.getCause() + "); try again", e);
         } catch (InterruptedException e) {
@@ -200,7 +205,7 @@
         try {
             client.stop();
         } catch (Exception e) {
-            // The process is ending.
+            // Ignored: the client is closed when the process exits.
         }
     }
 }
--- a/acacia-platform/src/main/java/org/acaciaport/http/JsonServer.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JsonServer.java
@@ -22,36 +22,36 @@
 import org.jboss.logging.Logger;
 
 /**
- * An HTTP server that answers with JSON.
+ * An HTTP server whose responses are JSON.
  *
- * <p>Safe for use by several threads. Bodies over {@value #MAX_BODY_BYTES} bytes are refused; at most
- * {@value #MAX_CALLS} requests are in work, more are refused at once.
+ * <p>Thread-safe. Rejects bodies of more than {@value #MAX_BODY_BYTES} bytes. Handles at most {@value #MAX_IN_FLIGHT}
+ * requests at a time and rejects further ones immediately.
  */
 public final class JsonServer {
-    /** Longest request body, in bytes. */
+    /** Maximum length of a request body, in bytes. */
     public static final int MAX_BODY_BYTES = 1 << 20;
 
     private static final Logger LOG = Logger.getLogger(JsonServer.class);
-    private static final int MAX_CALLS = 4_096;
+    private static final int MAX_IN_FLIGHT = 4_096;
     private static final int MAX_THREADS = 16;
     private static final int MIN_THREADS = 4;
-    private static final long IDLE_MILLIS = 75_000;
-    private static final long DRAIN_STEP_MILLIS = 20;
+    private static final long IDLE_TIMEOUT_MILLIS = 75_000;
+    private static final long DRAIN_POLL_MILLIS = 20;
 
     private final Server server;
     private final ServerConnector connector;
-    private final AtomicInteger working = new AtomicInteger();
+    private final AtomicInteger inFlight = new AtomicInteger();
 
     private JsonServer(InetSocketAddress address, HttpService service) {
         server = JettyParts.server(MAX_THREADS, MIN_THREADS);
-        connector = JettyParts.listen(server, address, IDLE_MILLIS);
+        connector = JettyParts.listen(server, address, IDLE_TIMEOUT_MILLIS);
         server.setHandler(new JsonHandler(service));
     }
 
     /**
-     * Starts listening on {@code address}.
+     * Returns a started server that listens on {@code address}.
      *
-     * @throws HttpStartException if the address cannot be bound
+     * @throws HttpStartException if it cannot listen on the address
      */
     public static JsonServer start(InetSocketAddress address, HttpService service) throws HttpStartException {
         JsonServer server = new JsonServer(address, service);
@@ -64,26 +64,29 @@
         return server;
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port on which the server listens. */
     public int port() {
         return connector.getLocalPort();
     }
 
-    /** Waits up to {@code millis} milliseconds for requests in work while still accepting, then stops. */
+    /**
+     * Waits up to {@code millis} milliseconds until no requests are in flight, then stops. Accepts new requests while
+     * it waits.
+     */
     public void drain(long millis) throws InterruptedException {
         long deadline = System.nanoTime() + millis * 1_000_000;
-        while (working.get() > 0 && System.nanoTime() < deadline) {
-            Thread.sleep(DRAIN_STEP_MILLIS);
+        while (inFlight.get() > 0 && System.nanoTime() < deadline) {
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
         stop();
     }
 
-    /** Stops at once. */
+    /** Stops immediately, without waiting for requests in flight. */
     public void stop() {
         try {
             server.stop();
         } catch (Exception e) {
-            LOG.warnf("http: server did not stop cleanly, %s", e);
+            LOG.warnf("http: server did not stop cleanly, error=%s", e);
         }
     }
 
@@ -96,30 +99,30 @@
 
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
-            boolean full = working.incrementAndGet() > MAX_CALLS;
+            boolean overloaded = inFlight.incrementAndGet() > MAX_IN_FLIGHT;
             HttpReply reply;
             try {
-                reply = full ? problem(busy()) : answer(request);
+                reply = overloaded ? reply(busy()) : handleCall(request);
             } finally {
-                working.decrementAndGet();
+                inFlight.decrementAndGet();
             }
             send(response, reply, callback);
             return true;
         }
 
-        private HttpReply answer(Request request) {
+        private HttpReply handleCall(Request request) {
             try {
-                return service.answer(call(request));
+                return service.answer(toCall(request));
             } catch (HttpProblem e) {
-                return problem(e);
+                return reply(e);
             } catch (Exception e) {
                 LOG.errorf(e, "http: request failed, path=%s", Request.getPathInContext(request));
-                return problem(new HttpProblem(
+                return reply(new HttpProblem(
                         500, "internal", "the program failed on this request", "report it with the log line"));
             }
         }
 
-        private HttpCall call(Request request) throws Exception {
+        private HttpCall toCall(Request request) throws Exception {
             List<String> path = new ArrayList<>();
             for (String segment : Request.getPathInContext(request).split("/")) {
                 if (!segment.isEmpty()) {
@@ -130,10 +133,10 @@
             for (Fields.Field field : Request.extractQueryParameters(request)) {
                 query.put(field.getName(), field.getValue());
             }
-            return new HttpCall(request.getMethod(), path, query, body(request));
+            return new HttpCall(request.getMethod(), path, query, readBody(request));
         }
 
-        private byte[] body(Request request) throws Exception {
+        private byte[] readBody(Request request) throws Exception {
             try (InputStream in = Content.Source.asInputStream(request)) {
                 byte[] body = in.readNBytes(MAX_BODY_BYTES + 1);
                 if (body.length > MAX_BODY_BYTES) {
@@ -156,7 +159,7 @@
         }
     }
 
-    private static HttpReply problem(HttpProblem problem) {
+    private static HttpReply reply(HttpProblem problem) {
         return new HttpReply(problem.status(), problem.body());
     }
 
--- a/acacia-platform/src/main/java/org/acaciaport/http/package-info.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * HTTP by way of Jetty: a small JSON server, a JSON client, and the platform's interfaces on top of the client.
+ * A JSON server and a JSON client over HTTP, based on Jetty, and the implementations of the platform's client
+ * interfaces on top of the client.
  */
 package org.acaciaport.http;
--- a/acacia-platform/src/main/java/org/acaciaport/platform/PlatformException.java
+++ b/acacia-platform/src/main/java/org/acaciaport/platform/PlatformException.java
@@ -1,30 +1,30 @@
 package org.acaciaport.platform;
 
-/** Thrown when the platform or a target does not do what was asked. */
+/** Thrown when a call to the platform or to a target fails. */
 public final class PlatformException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** What is known of the effect. */
+    /** What is known about the effect of the failed call. */
     public enum Kind {
-        /** Certainly nothing happened. */
+        /** The call had no effect. */
         NOT_DONE,
-        /** It may have happened. */
+        /** The call may or may not have had an effect. */
         UNCERTAIN,
-        /** The deadline had passed: neither this call nor an earlier copy of it takes effect any more. */
+        /** The deadline of the call has passed; neither it nor an earlier attempt of it will take effect any more. */
         EXPIRED,
-        /** The other side refused because a later epoch rules. */
+        /** The call was refused because the other side has seen a higher epoch. */
         STALE_EPOCH
     }
 
     private final Kind kind;
 
-    /** Creates an exception of {@code kind} whose message names the remedy. */
+    /** Creates an exception of {@code kind} whose message says what to do. */
     public PlatformException(Kind kind, String message, Throwable cause) {
         super(message, cause);
         this.kind = kind;
     }
 
-    /** Returns what is known of the effect. */
+    /** Returns what is known about the effect of the failed call. */
     public Kind kind() {
         return kind;
     }
--- a/acacia-platform/src/main/java/org/acaciaport/platform/VmList.java
+++ b/acacia-platform/src/main/java/org/acaciaport/platform/VmList.java
@@ -2,10 +2,10 @@
 
 import java.util.Set;
 
-/** The platform's lagging list of VMs. Implementations are safe for use by several threads. */
+/** A client of the platform's list of VMs, which may be stale. Implementations are thread-safe. */
 public interface VmList {
     /**
-     * Returns the identifiers of the VMs that are leaving.
+     * Returns the identifiers of the VMs that are about to be removed.
      *
      * @throws PlatformException if the list cannot be read
      */
--- a/acacia-platform/src/main/java/org/acaciaport/program/ExitCode.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/ExitCode.java
@@ -1,14 +1,14 @@
 package org.acaciaport.program;
 
-/** How the programs end. */
+/** The exit codes of the programs. */
 public enum ExitCode {
-    /** Did what was asked, or was stopped in order. */
+    /** The command succeeded, or the server was shut down cleanly. */
     OK(0),
-    /** The command ran and its answer is no, such as a request that failed. */
+    /** The command ran but its result is negative, such as a request that failed. */
     NEGATIVE(1),
-    /** The command line or the settings are wrong. */
+    /** The command line or the settings are invalid. */
     USAGE(2),
-    /** Something that the program needs is not available. */
+    /** A resource or service that the program needs is unavailable. */
     UNAVAILABLE(3);
 
     private final int code;
@@ -17,7 +17,7 @@
         this.code = code;
     }
 
-    /** Returns the number for the operating system. */
+    /** Returns the exit code as a number. */
     public int code() {
         return code;
     }
--- a/acacia-platform/src/main/java/org/acaciaport/program/LogSettings.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/LogSettings.java
@@ -1,7 +1,7 @@
 package org.acaciaport.program;
 
 /**
- * How a program writes its log.
+ * Settings of a program's logging.
  *
  * <p>Immutable.
  *
--- a/acacia-platform/src/main/java/org/acaciaport/program/Logs.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/Logs.java
@@ -13,60 +13,62 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logging to standard output, as text or as one JSON object a line.
+ * Static methods that configure logging to standard output, as text or as one JSON object per line.
  *
- * <p>Lines wait in a queue of {@value #QUEUE_LINES}; further ones are dropped and counted, so that a slow reader never
- * blocks the program.
+ * <p>Lines are written asynchronously from a queue of {@value #QUEUE_CAPACITY_LINES} lines. Lines that do not fit are
+ * dropped and counted, so that a slow reader of the output never blocks the program.
  */
 public final class Logs {
-    private static final String TEXT = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level %msg%n%ex";
+    private static final String TEXT_PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level %msg%n%ex";
 
-    private static final int QUEUE_LINES = 4_096;
-    private static final AtomicLong DROPPED = new AtomicLong();
+    private static final int QUEUE_CAPACITY_LINES = 4_096;
+    private static final AtomicLong DROPPED_LINES = new AtomicLong();
 
     private Logs() {}
 
-    /** Returns how many lines were dropped since the start. */
+    /** Returns the number of lines dropped since the process started. */
     public static long dropped() {
-        return DROPPED.get();
+        return DROPPED_LINES.get();
     }
 
-    /** Writes the lines that wait, as far as the reader takes them within a second, and ends logging. */
+    /**
+     * Flushes the queue and ends logging. Lines that the reader of the output does not accept within a second are lost.
+     */
     public static void close() {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME).detachAndStopAllAppenders();
     }
 
-    /** Drops lines instead of blocking, and counts them. */
+    /** Drops and counts lines instead of blocking when the queue is full. */
     private static final class BoundedAppender extends AsyncAppender {
         BoundedAppender() {
             setNeverBlock(true);
-            setQueueSize(QUEUE_LINES);
+            setQueueSize(QUEUE_CAPACITY_LINES);
             setDiscardingThreshold(0);
         }
 
         @Override
         protected void append(ILoggingEvent event) {
             if (getRemainingCapacity() == 0) {
-                DROPPED.incrementAndGet();
+                DROPPED_LINES.incrementAndGet();
                 return;
             }
             super.append(event);
         }
     }
 
-    /** Replaces the log set-up of this process. */
+    /** Replaces the logging configuration of this process. */
     public static void configure(LogSettings settings) {
         System.setProperty("org.jboss.logging.provider", "slf4j");
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
-        appender.setContext(context);
-        appender.setEncoder(encoder(context, settings));
-        appender.start();
+        ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
+        console.setContext(context);
+        console.setEncoder(encoder(context, settings));
+        console.start();
         BoundedAppender bounded = new BoundedAppender();
         bounded.setContext(context);
-        bounded.addAppender(appender);
+        bounded.addAppender(console);
         bounded.start();
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.addAppender(bounded);
@@ -83,7 +85,7 @@
         }
         PatternLayoutEncoder text = new PatternLayoutEncoder();
         text.setContext(context);
-        text.setPattern(TEXT);
+        text.setPattern(TEXT_PATTERN);
         text.start();
         return text;
     }
--- a/acacia-platform/src/main/java/org/acaciaport/program/OperatorService.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/OperatorService.java
@@ -12,9 +12,9 @@
 import org.acaciaport.http.HttpService;
 
 /**
- * The operators' HTTP interface that every server program has: {@code /healthz} and {@code /metrics}.
+ * The operators' HTTP interface of every server program: {@code /healthz} and {@code /metrics}.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class OperatorService implements HttpService {
     private static final int OK = 200;
@@ -32,18 +32,18 @@
     }
 
     /**
-     * Whether the balancer should send work here.
+     * The readiness of the program, for load balancers.
      *
-     * @param ready whether it should
-     * @param state one sentence that says why
+     * @param ready whether a load balancer should send requests to this program
+     * @param state the reason, in one sentence
      */
     public record Health(boolean ready, String state) {}
 
     @Override
     public HttpReply answer(HttpCall call) throws HttpProblem {
         if (call.matches("GET", 1, "healthz")) {
-            Health now = health.get();
-            return new HttpReply(now.ready() ? OK : UNAVAILABLE, now);
+            Health current = health.get();
+            return new HttpReply(current.ready() ? OK : UNAVAILABLE, current);
         }
         if (call.matches("GET", 1, "metrics")) {
             return HttpReply.ok(mapper.<JsonNode>valueToTree(metrics));
--- a/acacia-platform/src/main/java/org/acaciaport/program/ServerProgram.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/ServerProgram.java
@@ -11,22 +11,28 @@
 import org.jboss.logging.Logger;
 
 /**
- * The common life of a program that serves until it is told to stop: arguments, settings, start, drain.
+ * The common main program of all servers. Parses the arguments, loads the settings, starts the server and drains it
+ * when the process is told to terminate.
  *
- * <p>Used by the main thread only. A stop signal begins a drain; the process ends with code 0 once it is done.
+ * <p>Used by the main thread only. A termination signal starts the drain; when it is done, the process exits with code
+ * 0.
  *
- * @param <S> its settings
+ * @param <S> type of the settings
  */
 public final class ServerProgram<S extends Settings.Checkable> {
-    /** A running program. */
+    /** A server that has been started. */
     public interface RunningServer {
-        /** Finishes work at hand and stops. Called once. */
+        /** Finishes the requests in flight and stops. Called once. */
         void drain() throws InterruptedException;
     }
 
-    /** Starts a program. */
+    /** Starts a server. */
     public interface Starter<S> {
-        /** Starts with {@code settings}; throws whatever keeps it from starting. */
+        /**
+         * Starts a server with {@code settings}.
+         *
+         * @throws Exception if it cannot start; the message is shown to the operator
+         */
         RunningServer start(S settings) throws Exception;
     }
 
@@ -35,7 +41,7 @@
     private final Class<S> type;
     private final Starter<S> starter;
 
-    /** Creates a program called {@code name}. */
+    /** Creates a program named {@code name} whose settings are of {@code type}. */
     public ServerProgram(String name, String description, Class<S> type, Starter<S> starter) {
         this.name = name;
         this.description = description;
@@ -43,13 +49,13 @@
         this.starter = starter;
     }
 
-    /** Returns the version of this build. */
+    /** Returns the version of this build, or {@code development} if it is not packaged. */
     public static String version() {
         String version = ServerProgram.class.getPackage().getImplementationVersion();
         return version == null ? "development" : version;
     }
 
-    /** Runs until stopped and returns how it ended. */
+    /** Runs the program until it is stopped, and returns its exit code. */
     public ExitCode run(String... arguments) {
         ArgumentParser parser = parser();
         try {
@@ -84,7 +90,7 @@
             try {
                 running.drain();
             } catch (InterruptedException e) {
-                Logger.getLogger(ServerProgram.class).warn("program: stop was interrupted");
+                Logger.getLogger(ServerProgram.class).warn("program: drain was interrupted");
             }
             drained.countDown();
             Logs.close();
@@ -103,12 +109,12 @@
                 .build()
                 .description(description)
                 .version(name + " " + version())
-                .epilog("Exit codes: 0 stopped in order, 2 wrong arguments or settings, 3 cannot start.");
+                .epilog("Exit codes: 0 clean shutdown, 2 invalid arguments or settings, 3 cannot start.");
         parser.addArgument("--version").action(Arguments.version()).help("print the version and exit");
-        parser.addArgument("--settings").required(true).metavar("FILE").help("TOML settings");
+        parser.addArgument("--settings").required(true).metavar("FILE").help("settings file in TOML format");
         parser.addArgument("--check-settings")
                 .action(Arguments.storeTrue())
-                .help("check the settings and exit without starting");
+                .help("validate the settings and exit without starting");
         return parser;
     }
 }
--- a/acacia-platform/src/main/java/org/acaciaport/program/Settings.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/Settings.java
@@ -14,9 +14,10 @@
 import org.acaciaport.wire.Codecs;
 
 /**
- * Reads TOML files into records. Unknown keys, wrong types, missing keys and values out of range are errors.
+ * Static methods that read TOML files into records. Unknown keys, missing keys, values of the wrong type and values out
+ * of range are errors.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class Settings {
     private static final ObjectMapper TOML =
@@ -26,16 +27,16 @@
 
     private Settings() {}
 
-    /** A record of settings that knows which values are allowed. */
+    /** A settings record that can validate its values. */
     public interface Checkable {
-        /** Adds every problem with the values. */
+        /** Validates all values with {@code check}, which collects the problems. */
         void check(SettingsCheck check);
     }
 
     /**
-     * Reads and checks {@code file}.
+     * Reads and validates {@code file}.
      *
-     * @throws SettingsException if it cannot be used
+     * @throws SettingsException if the file cannot be read, does not match {@code type}, or has invalid values
      */
     public static <T extends Checkable> T load(Path file, Class<T> type) throws SettingsException {
         T settings = read(file, type);
@@ -49,9 +50,9 @@
     }
 
     /**
-     * Reads {@code file} without a check of values.
+     * Reads {@code file} without validating its values.
      *
-     * @throws SettingsException if it has another shape
+     * @throws SettingsException if the file cannot be read or does not match {@code type}
      */
     public static <T> T read(Path file, Class<T> type) throws SettingsException {
         String text;
--- a/acacia-platform/src/main/java/org/acaciaport/program/SettingsCheck.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/SettingsCheck.java
@@ -9,9 +9,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Collects problems with the values of settings.
+ * Validates the values of settings and collects the problems found.
  *
- * <p>Not thread-safe; used while a program starts.
+ * <p>Not thread-safe.
  */
 public final class SettingsCheck {
     private static final Pattern ADDRESS = Pattern.compile("([0-9]{1,3}(?:\\.[0-9]{1,3}){3}):([0-9]{1,5})");
@@ -19,35 +19,35 @@
 
     private final List<String> problems = new ArrayList<>();
 
-    /** Requires {@code low <= value <= high}. */
-    public void between(String key, long value, long low, long high) {
-        if (value < low || value > high) {
-            problems.add("key '" + key + "' = " + value + " is out of range; use " + low + " to " + high);
+    /** Requires {@code min <= value <= max}. */
+    public void between(String key, long value, long min, long max) {
+        if (value < min || value > max) {
+            problems.add("key '" + key + "' = " + value + " is out of range; use " + min + " to " + max);
         }
     }
 
-    /** Requires a name of lower-case letters, digits, dots and dashes. */
+    /** Requires a name of at most 63 lower-case letters, digits, dots and dashes; it starts with a letter or digit. */
     public void name(String key, String value) {
         matches(key, value, "[a-z0-9][a-z0-9.-]{0,62}", "lower-case letters, digits, '.' and '-', at most 63");
     }
 
-    /** Requires {@code value} to match {@code pattern}. */
+    /** Requires {@code value} to match {@code pattern}; {@code remedy} describes the allowed values. */
     public void matches(String key, String value, String pattern, String remedy) {
         if (!value.matches(pattern)) {
             problems.add("key '" + key + "' = \"" + value + "\" is not allowed; use " + remedy);
         }
     }
 
-    /** Requires an address of the form IP:PORT. */
+    /** Requires an address of the form IP:PORT, with an IPv4 address. */
     public void address(String key, String value) {
         if (parse(value) == null) {
-            problems.add("key '" + key + "' = \"" + value + "\" is not IP:PORT; use an IP number and a port");
+            problems.add("key '" + key + "' = \"" + value + "\" is not IP:PORT; use an IP address and a port");
         }
     }
 
-    /** Requires a URI of the form http://IP:PORT. */
+    /** Requires a URI of the form http://IP:PORT, with a numeric address and optionally a path. */
     public void uri(String key, String value) {
-        matches(key, value, "http://[0-9.]+:[0-9]+(/.*)?", "http://IP:PORT with an IP number");
+        matches(key, value, "http://[0-9.]+:[0-9]+(/.*)?", "http://IP:PORT with an IP address");
     }
 
     /** Returns the problems found so far. */
@@ -55,7 +55,7 @@
         return List.copyOf(problems);
     }
 
-    /** Returns the socket address that {@code text} names as IP:PORT, or null. */
+    /** Returns the socket address given by {@code text} as IP:PORT, or null if it is invalid. */
     public static InetSocketAddress parse(String text) {
         Matcher matcher = ADDRESS.matcher(text);
         if (!matcher.matches()) {
--- a/acacia-platform/src/main/java/org/acaciaport/program/SettingsException.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/SettingsException.java
@@ -1,6 +1,6 @@
 package org.acaciaport.program;
 
-/** Thrown for settings that cannot be used; the message names file, key, value and remedy. */
+/** Thrown when settings are invalid. The message names the file, the key and its value, and says what to do. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/acacia-platform/src/main/java/org/acaciaport/program/package-info.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What every program shares: the command line, settings, logs, metrics and the operators' HTTP interface.
+ * The code that all programs share: the command line, settings, logging, metrics and the operators' HTTP interface.
  */
 package org.acaciaport.program;
--- a/acacia-platform/src/test/java/org/acaciaport/program/LogsTest.java
+++ b/acacia-platform/src/test/java/org/acaciaport/program/LogsTest.java
@@ -11,21 +11,21 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Lines reach standard output in order, and a reader that does not read blocks nobody. */
+/** Tests that closing flushes queued lines, and that a blocked output never blocks the threads that log. */
 final class LogsTest {
-    private static final int MORE_LINES_THAN_WAIT = 20_000;
+    private static final int LINES_BEYOND_QUEUE = 20_000;
 
-    private final PrintStream before = System.out;
+    private final PrintStream originalOut = System.out;
 
     @AfterEach
-    void restore() {
+    void restoreOutput() {
         Logs.close();
-        System.setOut(before);
+        System.setOut(originalOut);
     }
 
-    /** The last lines used to be lost, since the process ended while they waited. */
+    /** Guards against losing the last lines: the process exits while they are still in the queue. */
     @Test
-    void linesThatWaitAreWrittenAtTheEnd() {
+    void closeWritesQueuedLines() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
         Logs.configure(new LogSettings("text", "info"));
@@ -37,30 +37,30 @@
     }
 
     @Test
-    void aReaderThatDoesNotReadCostsLinesAndBlocksNobody() {
-        CountDownLatch read = new CountDownLatch(1);
-        System.setOut(new PrintStream(new Blocked(read), true, StandardCharsets.UTF_8));
+    void blockedOutputDropsLinesWithoutBlocking() {
+        CountDownLatch unblocked = new CountDownLatch(1);
+        System.setOut(new PrintStream(new BlockedOutput(unblocked), true, StandardCharsets.UTF_8));
         Logs.configure(new LogSettings("text", "info"));
         long dropped = Logs.dropped();
-        for (int i = 0; i < MORE_LINES_THAN_WAIT; i++) {
+        for (int i = 0; i < LINES_BEYOND_QUEUE; i++) {
             Logger.getLogger("test").infof("line=%s", i);
         }
         assertThat(Logs.dropped()).isGreaterThan(dropped);
-        read.countDown();
+        unblocked.countDown();
     }
 
-    /** Takes nothing until the latch opens. */
-    private static final class Blocked extends OutputStream {
-        private final CountDownLatch open;
+    /** Blocks every write until the latch is released. */
+    private static final class BlockedOutput extends OutputStream {
+        private final CountDownLatch unblocked;
 
-        Blocked(CountDownLatch open) {
-            this.open = open;
+        BlockedOutput(CountDownLatch unblocked) {
+            this.unblocked = unblocked;
         }
 
         @Override
         public void write(int b) {
             try {
-                open.await();
+                unblocked.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
