--- a/acacia-core/src/main/java/org/acaciaport/config/ConfigurationCheck.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/ConfigurationCheck.java
@@ -98,7 +98,7 @@
         if (!checkShape(prefix, guarantee.shape())) {
             return;
         }
-        int unsatisfiedAccounts = Shares.unassigned(configuration, guarantee.dataCentre());
+        int unsatisfiedAccounts = SliceAssignment.countUnsatisfiedAccounts(configuration, guarantee.dataCentre());
         require(
                 unsatisfiedAccounts == 0,
                 prefix + guarantee.shape() + " for each of "
--- a/acacia-core/src/main/java/org/acaciaport/config/Profile.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/Profile.java
@@ -54,7 +54,7 @@
      * Returns the next allowed treatment, in the order of the enum, after {@code previous}; the first one if {@code
      * previous} is empty.
      */
-    public Optional<Treatment> treatmentAfter(Optional<Treatment> previous) {
+    public Optional<Treatment> nextTreatment(Optional<Treatment> previous) {
         for (Treatment treatment : Treatment.values()) {
             boolean later = previous.isEmpty() || treatment.compareTo(previous.get()) > 0;
             if (later && treatments.contains(treatment)) {
@@ -65,7 +65,7 @@
     }
 
     /** Returns whether the work needs more than one target. */
-    public boolean gang() {
+    public boolean runsAsGang() {
         return shape.targets() > 1;
     }
 
--- a/acacia-core/src/main/java/org/acaciaport/config/Shares.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/SliceAssignment.java
@@ -18,17 +18,17 @@
  * slice is assigned only if the target has capacity for it together with the slices and the irrevocable work of the
  * other accounts. Work is irrevocable if it cannot be preempted; see {@link Profile#revocable}.
  */
-public final class Shares {
+public final class SliceAssignment {
     /** The assignment of a data centre without a guarantee. */
-    public static final Shares NONE = new Shares(ImmutableListMultimap.of(), ImmutableMap.of());
+    public static final SliceAssignment NONE = new SliceAssignment(ImmutableListMultimap.of(), ImmutableMap.of());
 
     private final ImmutableListMultimap<String, Slice> byAccount;
-    private final ImmutableMap<String, Integer> owed;
+    private final ImmutableMap<String, Integer> unassigned;
     private final ImmutableMap<String, Map<String, Integer>> byTarget;
 
-    private Shares(ImmutableListMultimap<String, Slice> byAccount, ImmutableMap<String, Integer> owed) {
+    private SliceAssignment(ImmutableListMultimap<String, Slice> byAccount, ImmutableMap<String, Integer> unassigned) {
         this.byAccount = byAccount;
-        this.owed = owed;
+        this.unassigned = unassigned;
         Map<String, Map<String, Integer>> unitsByTarget = new HashMap<>();
         for (Slice slice : byAccount.values()) {
             unitsByTarget
@@ -46,68 +46,70 @@
      * @param capacity number of its accelerators
      * @param irrevocable accelerators in use by work that cannot be preempted, by account
      */
-    public record Place(String target, String rack, int capacity, Map<String, Integer> irrevocable) {
+    public record TargetCapacity(String target, String rack, int capacity, Map<String, Integer> irrevocable) {
         /** Returns the capacity of {@code target} while no work runs on it. */
-        public static Place of(Target target) {
-            return new Place(target.id(), target.rack(), target.accelerators(), Map.of());
+        public static TargetCapacity of(Target target) {
+            return new TargetCapacity(target.id(), target.rack(), target.accelerators(), Map.of());
         }
     }
 
     /** Returns the number of accounts whose guarantee cannot be met even when no work runs in the data centre. */
-    static int unassigned(Configuration configuration, String dataCentre) {
-        List<Place> places =
-                configuration.targetsOf(dataCentre).stream().map(Place::of).toList();
-        return assign(configuration, dataCentre, places, NONE).owed.size();
+    static int countUnsatisfiedAccounts(Configuration configuration, String dataCentre) {
+        List<TargetCapacity> capacities = configuration.targetsOf(dataCentre).stream()
+                .map(TargetCapacity::of)
+                .toList();
+        return assign(configuration, dataCentre, capacities, NONE).unassigned.size();
     }
 
     /**
      * Assigns the guaranteed shape to every account, keeping slices of {@code previous} that still fit.
      *
-     * @param places the targets that can be used now
+     * @param capacities capacities of the targets that can be used now
      */
-    public static Shares assign(Configuration configuration, String dataCentre, List<Place> places, Shares previous) {
+    public static SliceAssignment assign(
+            Configuration configuration, String dataCentre, List<TargetCapacity> capacities, SliceAssignment previous) {
         Guarantee guarantee = configuration.guaranteeOf(dataCentre).orElse(null);
         if (guarantee == null) {
             return NONE;
         }
-        return new Assignment(guarantee.shape(), places).assign(configuration.accounts(), previous);
+        return new Assigner(guarantee.shape(), capacities).assign(configuration.accounts(), previous);
     }
 
     /** Returns the slices of {@code account}. */
-    public List<Slice> of(String account) {
+    public List<Slice> slicesOf(String account) {
         return byAccount.get(account);
     }
 
     /** Returns the number of accelerators that each account owns on {@code target}, by account. */
-    public Map<String, Integer> on(String target) {
+    public Map<String, Integer> unitsByAccount(String target) {
         return byTarget.getOrDefault(target, Map.of());
     }
 
     /** Returns the number of slices of the guarantee of {@code account} that could not be assigned. */
-    public int owed(String account) {
-        return owed.getOrDefault(account, 0);
+    public int unassignedSlices(String account) {
+        return unassigned.getOrDefault(account, 0);
     }
 
     /** Returns the number of guaranteed slices of all accounts that could not be assigned. */
-    public int owed() {
-        return owed.values().stream().mapToInt(Integer::intValue).sum();
+    public int unassignedSlices() {
+        return unassigned.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     /** Computes one assignment. Not thread-safe. */
-    private static final class Assignment {
+    private static final class Assigner {
         private final Shape shape;
-        private final Map<String, Place> places;
+        private final Map<String, TargetCapacity> capacities;
         private final Map<String, Map<String, Integer>> owned = new HashMap<>();
         private final ImmutableListMultimap.Builder<String, Slice> slices = ImmutableListMultimap.builder();
-        private final ImmutableMap.Builder<String, Integer> owed = ImmutableMap.builder();
+        private final ImmutableMap.Builder<String, Integer> unassigned = ImmutableMap.builder();
 
-        Assignment(Shape shape, List<Place> places) {
+        Assigner(Shape shape, List<TargetCapacity> capacities) {
             this.shape = shape;
-            this.places = new LinkedHashMap<>();
-            places.forEach(p -> this.places.put(p.target(), p));
+            this.capacities = new LinkedHashMap<>();
+            capacities.forEach(p -> this.capacities.put(p.target(), p));
         }
 
-        Shares assign(List<ClientAccount> accounts, Shares previous) {
+        SliceAssignment assign(List<ClientAccount> accounts, SliceAssignment previous) {
             // All accounts keep their slices before any account gets new ones, so that no new slice displaces an old
             // one.
             Map<String, List<String>> kept = new HashMap<>();
@@ -117,14 +119,14 @@
             for (ClientAccount account : accounts) {
                 assignMissingSlices(account.name(), kept.get(account.name()));
             }
-            return new Shares(slices.build(), owed.build());
+            return new SliceAssignment(slices.build(), unassigned.build());
         }
 
         /** Returns the targets on which {@code account} keeps its slice of {@code previous}. */
-        private List<String> keepPreviousSlices(String account, Shares previous) {
+        private List<String> keepPreviousSlices(String account, SliceAssignment previous) {
             List<String> kept = new ArrayList<>();
-            for (Slice slice : previous.of(account)) {
-                if (kept.size() < shape.targets() && remainingCapacity(account, places.get(slice.target())) >= 0) {
+            for (Slice slice : previous.slicesOf(account)) {
+                if (kept.size() < shape.targets() && remainingCapacity(account, capacities.get(slice.target())) >= 0) {
                     assignSlice(account, slice.target());
                     kept.add(slice.target());
                 }
@@ -145,7 +147,7 @@
                 slices.put(account, new Slice(account, target, shape.acceleratorsPerTarget()));
             }
             if (chosen.size() < shape.targets()) {
-                owed.put(account, shape.targets() - chosen.size());
+                unassigned.put(account, shape.targets() - chosen.size());
             }
         }
 
@@ -155,14 +157,15 @@
          */
         private List<String> chooseTargets(String account, List<String> kept) {
             if (shape.adjacency() == Adjacency.SAME_DATA_CENTRE) {
-                return addTargets(account, kept, places.values());
+                return addTargets(account, kept, capacities.values());
             }
             List<String> best = kept;
-            Map<String, List<Place>> racks = places.values().stream()
-                    .collect(Collectors.groupingBy(Place::rack, LinkedHashMap::new, Collectors.toList()));
-            for (List<Place> rack : racks.values()) {
-                Set<String> inRack = rack.stream().map(Place::target).collect(Collectors.toSet());
-                if (!inRack.containsAll(kept)) {
+            Map<String, List<TargetCapacity>> racks = capacities.values().stream()
+                    .collect(Collectors.groupingBy(TargetCapacity::rack, LinkedHashMap::new, Collectors.toList()));
+            for (List<TargetCapacity> rack : racks.values()) {
+                Set<String> rackTargets =
+                        rack.stream().map(TargetCapacity::target).collect(Collectors.toSet());
+                if (!rackTargets.containsAll(kept)) {
                     continue;
                 }
                 List<String> extended = addTargets(account, kept, rack);
@@ -177,20 +180,20 @@
          * Returns {@code kept} and as many targets of {@code available} as the shape needs. Prefers the targets with
          * the least remaining capacity (best fit), so that whole targets stay unassigned.
          */
-        private List<String> addTargets(String account, List<String> kept, Iterable<Place> available) {
-            List<Place> candidates = new ArrayList<>();
-            for (Place place : available) {
-                if (!kept.contains(place.target()) && remainingCapacity(account, place) >= 0) {
-                    candidates.add(place);
+        private List<String> addTargets(String account, List<String> kept, Iterable<TargetCapacity> available) {
+            List<TargetCapacity> candidates = new ArrayList<>();
+            for (TargetCapacity candidate : available) {
+                if (!kept.contains(candidate.target()) && remainingCapacity(account, candidate) >= 0) {
+                    candidates.add(candidate);
                 }
             }
-            candidates.sort(Comparator.comparingInt((Place p) -> remainingCapacity(account, p)));
+            candidates.sort(Comparator.comparingInt((TargetCapacity p) -> remainingCapacity(account, p)));
             List<String> chosen = new ArrayList<>(kept);
-            for (Place place : candidates) {
+            for (TargetCapacity candidate : candidates) {
                 if (chosen.size() == shape.targets()) {
                     break;
                 }
-                chosen.add(place.target());
+                chosen.add(candidate.target());
             }
             return chosen;
         }
@@ -200,16 +203,16 @@
         }
 
         /**
-         * Returns the accelerators that remain on {@code place} if {@code account} owns a slice there; negative if the
-         * slice does not fit or {@code place} is null.
+         * Returns the accelerators that remain on {@code candidate} if {@code account} owns a slice there; negative if
+         * the slice does not fit or {@code candidate} is null.
          */
-        private int remainingCapacity(String account, Place place) {
-            if (place == null) {
+        private int remainingCapacity(String account, TargetCapacity candidate) {
+            if (candidate == null) {
                 return -1;
             }
-            Map<String, Integer> units = new HashMap<>(owned.getOrDefault(place.target(), Map.of()));
+            Map<String, Integer> units = new HashMap<>(owned.getOrDefault(candidate.target(), Map.of()));
             units.put(account, shape.acceleratorsPerTarget());
-            return place.capacity() - committed(units, place.irrevocable());
+            return candidate.capacity() - committedUnits(units, candidate.irrevocable());
         }
     }
 
@@ -217,7 +220,7 @@
      * Returns the accelerators committed on a target: for each account, the larger of what it owns and what its
      * irrevocable work uses.
      */
-    public static int committed(Map<String, Integer> owned, Map<String, Integer> irrevocable) {
+    public static int committedUnits(Map<String, Integer> owned, Map<String, Integer> irrevocable) {
         int sum = 0;
         for (Map.Entry<String, Integer> entry : owned.entrySet()) {
             sum += Math.max(entry.getValue(), irrevocable.getOrDefault(entry.getKey(), 0));
--- a/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
@@ -273,7 +273,7 @@
     void finish(Job job, Outcome outcome) {
         remove(job);
         addCommand(new Command.Answer(job.request(), outcome));
-        note("answer", job, "outcome=" + outcome.word() + " " + describe(outcome));
+        note("answer", job, "outcome=" + outcome.statusName() + " " + describe(outcome));
     }
 
     /** Removes {@code job} without an answer. Its units must have been vacated and its claims removed before. */
--- a/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
@@ -53,7 +53,7 @@
      */
     List<Member> findBackfill(Job job) {
         Job largeJob = draft.largeJob().map(draft::job).orElse(null);
-        if (largeJob == null || job.profile().gang() || !(largeJob.phase() instanceof Phase.Claiming claiming)) {
+        if (largeJob == null || job.profile().runsAsGang() || !(largeJob.phase() instanceof Phase.Claiming claiming)) {
             return List.of();
         }
         boolean drainBlocked = !new Claims(draft).canClear(largeJob, claiming);
@@ -97,7 +97,7 @@
 
     /** Returns whether {@code job} is a gang or needs more accelerators than are free on any one target. */
     private boolean isLarge(Job job) {
-        return job.profile().gang()
+        return job.profile().runsAsGang()
                 || draft.fleet().largestFree() < job.profile().shape().acceleratorsPerTarget();
     }
 
--- a/acacia-core/src/main/java/org/acaciaport/decision/Fleet.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Fleet.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.UnaryOperator;
-import org.acaciaport.config.Shares;
+import org.acaciaport.config.SliceAssignment;
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 
@@ -29,11 +29,11 @@
         Map<String, List<String>> racks,
         CapacityIndex free,
         CapacityIndex unowned,
-        Shares shares,
+        SliceAssignment shares,
         Set<String> listedAsLeaving) {
     /** A fleet without targets. */
-    static final Fleet EMPTY =
-            new Fleet(HashTreePMap.empty(), Map.of(), CapacityIndex.EMPTY, CapacityIndex.EMPTY, Shares.NONE, Set.of());
+    static final Fleet EMPTY = new Fleet(
+            HashTreePMap.empty(), Map.of(), CapacityIndex.EMPTY, CapacityIndex.EMPTY, SliceAssignment.NONE, Set.of());
 
     /** Returns the state of the target with identifier {@code id}, or null if it is not in the fleet. */
     public TargetState target(String id) {
@@ -67,11 +67,11 @@
     }
 
     /** Returns this fleet with slices assigned as in {@code next}. */
-    Fleet with(Shares next) {
+    Fleet with(SliceAssignment next) {
         Fleet fleet = new Fleet(targets, racks, free, unowned, next, listedAsLeaving);
         for (TargetState target : targets.values()) {
-            if (!target.owned().equals(next.on(target.id()))) {
-                fleet = fleet.with(target.withOwned(next.on(target.id())));
+            if (!target.owned().equals(next.unitsByAccount(target.id()))) {
+                fleet = fleet.with(target.withOwned(next.unitsByAccount(target.id())));
             }
         }
         return fleet;
--- a/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.acaciaport.config.Profile;
-import org.acaciaport.config.Shares;
+import org.acaciaport.config.SliceAssignment;
 import org.acaciaport.decision.Violation.Invariant;
 import org.acaciaport.request.Outcome;
 
@@ -121,7 +121,8 @@
         require(
                 Invariant.GUARANTEE,
                 !target.isUsable()
-                        || Shares.committed(target.owned(), load.irrevocableByAccount()) <= target.capacity(),
+                        || SliceAssignment.committedUnits(target.owned(), load.irrevocableByAccount())
+                                <= target.capacity(),
                 () -> target.id() + " owned=" + target.owned() + " irrevocable=" + load.irrevocableByAccount());
         for (String id : load.jobs()) {
             Job job = after.workload().jobs().get(id);
@@ -259,7 +260,7 @@
                 Invariant.LEAVING,
                 target != null && target.isUsable(),
                 () -> id + " started on " + start.member().target() + ", which is leaving or lost");
-        if (profile.gang()) {
+        if (profile.runsAsGang()) {
             require(
                     Invariant.GANG_WHOLE,
                     ledger.reservationsOf(attempt.number()) == attempt.members().size(),
--- a/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import org.acaciaport.config.ActiveConfiguration;
-import org.acaciaport.config.Shares;
+import org.acaciaport.config.SliceAssignment;
 import org.acaciaport.config.Target;
 
 /**
@@ -175,7 +175,7 @@
 
     /** Assigns the guaranteed slices that no target could hold so far, now that another target is in use. */
     void reassignOwedSlices() {
-        if (draft.fleet().shares().owed() > 0) {
+        if (draft.fleet().shares().unassignedSlices() > 0) {
             reassignGuarantees();
         }
         draft.requestDispatch();
@@ -186,23 +186,26 @@
      * claims checked against the result.
      */
     void reassignGuarantees() {
-        List<Shares.Place> places = new ArrayList<>();
+        List<SliceAssignment.TargetCapacity> places = new ArrayList<>();
         for (TargetState target : new TreeMap<>(draft.fleet().targets()).values()) {
             if (target.isTrusted()) {
-                places.add(new Shares.Place(
+                places.add(new SliceAssignment.TargetCapacity(
                         target.id(),
                         target.target().rack(),
                         target.capacity(),
                         target.load().irrevocableByAccount()));
             }
         }
-        Shares previous = draft.fleet().shares();
-        Shares next =
-                Shares.assign(draft.active().configuration(), draft.state().dataCentre(), places, previous);
+        SliceAssignment previous = draft.fleet().shares();
+        SliceAssignment next = SliceAssignment.assign(
+                draft.active().configuration(), draft.state().dataCentre(), places, previous);
         draft.setFleet(draft.fleet().with(next));
         draft.recheckClaims();
-        if (next.owed() != previous.owed()) {
-            draft.note(PART, "guaranteed slices owed=" + next.owed() + " why=the targets in use cannot hold them now");
+        if (next.unassignedSlices() != previous.unassignedSlices()) {
+            draft.note(
+                    PART,
+                    "guaranteed slices owed=" + next.unassignedSlices()
+                            + " why=the targets in use cannot hold them now");
         }
         draft.requestDispatch();
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
@@ -50,7 +50,7 @@
     Optional<List<Member>> findClaimable() {
         int needed = profile.shape().targets();
         List<TargetState> own = new ArrayList<>();
-        for (Slice slice : draft.fleet().shares().of(job.account())) {
+        for (Slice slice : draft.fleet().shares().slicesOf(job.account())) {
             TargetState target = draft.fleet().target(slice.target());
             if (target != null && isClaimable(target)) {
                 own.add(target);
@@ -104,7 +104,7 @@
         int units = units(target);
         // A target with recent failures takes only idempotent jobs with one member, which can be retried elsewhere.
         boolean trusted =
-                target.health().accountsByFailedRequest().isEmpty() || profile.idempotent() && !profile.gang();
+                target.health().accountsByFailedRequest().isEmpty() || profile.idempotent() && !profile.runsAsGang();
         return draft.rules().acceptsWork(target)
                 && trusted
                 && !job.avoidedTargets().contains(target.id())
@@ -114,7 +114,7 @@
 
     private Optional<List<TargetState>> findSingle() {
         TargetState best = null;
-        for (Slice slice : draft.fleet().shares().of(job.account())) {
+        for (Slice slice : draft.fleet().shares().slicesOf(job.account())) {
             TargetState target = draft.fleet().target(slice.target());
             boolean own = target != null && target.unusedOwnedBy(job.account()) >= units(target);
             if (own && fitsNow(target) && (best == null || target.free() < best.free())) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
@@ -121,9 +121,9 @@
      * possible.
      */
     private Optional<Treatment> nextTreatment(Job job, Optional<Treatment> previous) {
-        Optional<Treatment> next = job.profile().treatmentAfter(previous);
+        Optional<Treatment> next = job.profile().nextTreatment(previous);
         boolean skip = next.isPresent() && next.get() == Treatment.THROTTLE && !mayThrottle(job);
-        return skip ? job.profile().treatmentAfter(next) : next;
+        return skip ? job.profile().nextTreatment(next) : next;
     }
 
     /**
--- a/acacia-core/src/main/java/org/acaciaport/decision/Rules.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Rules.java
@@ -12,7 +12,7 @@
 class Rules {
     /** Returns whether every target must grant a reservation before any member starts. */
     boolean requiresReservation(Profile profile) {
-        return profile.gang();
+        return profile.runsAsGang();
     }
 
     /**
--- a/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
@@ -1,7 +1,7 @@
 package org.acaciaport.decision;
 
 import java.util.Optional;
-import org.acaciaport.config.Shares;
+import org.acaciaport.config.SliceAssignment;
 import org.acaciaport.request.Outcome;
 import org.pcollections.HashTreePMap;
 import org.pcollections.HashTreePSet;
@@ -224,7 +224,7 @@
 
     /** Returns whether guarantees and irrevocable work together exceed the accelerators of {@code target}. */
     private static boolean isOvercommitted(TargetState target) {
-        return Shares.committed(target.owned(), target.load().irrevocableByAccount()) > target.capacity();
+        return SliceAssignment.committedUnits(target.owned(), target.load().irrevocableByAccount()) > target.capacity();
     }
 
     private void markUnconfirmedLost(Job job, Phase.Running running) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/TargetState.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/TargetState.java
@@ -1,7 +1,7 @@
 package org.acaciaport.decision;
 
 import java.util.Map;
-import org.acaciaport.config.Shares;
+import org.acaciaport.config.SliceAssignment;
 import org.acaciaport.config.Target;
 
 /**
@@ -44,7 +44,7 @@
      * work that runs here or has a claim; may be negative.
      */
     public int unowned() {
-        return capacity() - Shares.committed(owned, load.irrevocableWithClaimsByAccount());
+        return capacity() - SliceAssignment.committedUnits(owned, load.irrevocableWithClaimsByAccount());
     }
 
     /** Returns the units that irrevocable work of {@code account} may take: those unowned and its own unused ones. */
--- a/acacia-core/src/main/java/org/acaciaport/request/Outcome.java
+++ b/acacia-core/src/main/java/org/acaciaport/request/Outcome.java
@@ -45,7 +45,7 @@
     record Unknown(String reason) implements Outcome {}
 
     /** Returns the status name of this outcome in replies, logs and metrics. */
-    default String word() {
+    default String statusName() {
         return switch (this) {
             case Done done -> "done";
             case Failed failed -> "failed";
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/SoakMain.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/SoakMain.java
@@ -44,7 +44,7 @@
 
     private static void print(Namespace parsed, CellDriver driver) {
         Map<String, Integer> outcomes = new TreeMap<>();
-        driver.answers().values().forEach(o -> outcomes.merge(o.word(), 1, Integer::sum));
+        driver.answers().values().forEach(o -> outcomes.merge(o.statusName(), 1, Integer::sum));
         System.out.println("deployment " + parsed.getString("deployment") + " seed " + parsed.getLong("seed"));
         System.out.println("steps      " + driver.steps());
         System.out.println("faults     " + driver.faults());
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
@@ -223,7 +223,7 @@
                 replica.append(
                         new LogRecord.Voided(recordVoid.request(), recordVoid.attempt(), recordVoid.checkpointed()));
             case Command.Answer answer -> {
-                metrics.counter("answer." + answer.outcome().word()).inc();
+                metrics.counter("answer." + answer.outcome().statusName()).inc();
                 outcomes.complete(answer.request().id(), answer.outcome());
                 replica.append(new LogRecord.Finished(answer.request().id(), answer.outcome()));
             }
@@ -327,7 +327,7 @@
                 && CellState.epochOf(task.attempt()) < epoch
                 && job.phase() instanceof Phase.Queued
                 && job.profile().idempotent()
-                && !job.profile().gang();
+                && !job.profile().runsAsGang();
     }
 
     /** Passes the task's state to the decider unless it is that state already. */
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
@@ -227,7 +227,7 @@
             outcome = entry.outcome();
         }
         if (outcome != null) {
-            return status(request, outcome.word(), outcome);
+            return status(request, outcome.statusName(), outcome);
         }
         LeaderTerm current = leaderTerm.get();
         String state = current == null
