--- a/acacia-core/src/main/java/org/acaciaport/log/KeyedRecord.java
+++ b/acacia-core/src/main/java/org/acaciaport/log/KeyedRecord.java
@@ -12,7 +12,7 @@
     private static final byte[] NO_VALUE = {};
 
     /** Returns a tombstone, a record that deletes {@code key}. */
-    public static KeyedRecord drop(String key) {
+    public static KeyedRecord tombstone(String key) {
         return new KeyedRecord(key, NO_VALUE);
     }
 }
--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/GatewayClient.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/GatewayClient.java
@@ -61,7 +61,7 @@
         for (String baseUri : baseUris) {
             try {
                 long timeoutMillis = CALL_TIMEOUT_MILLIS + waitMillis;
-                JsonClient.Answer answer = body == null && method.equals("GET")
+                JsonClient.Response answer = body == null && method.equals("GET")
                         ? client.get(baseUri + path, timeoutMillis)
                         : client.send(method, baseUri + path, body == null ? List.of() : body, timeoutMillis);
                 if (answer.status() < FIRST_ERROR_STATUS) {
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/CallerService.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/CallerService.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public HttpReply answer(HttpCall call) throws HttpProblem {
+    public HttpReply handle(HttpCall call) throws HttpProblem {
         if (call.matches("POST", 2, "v1", "requests")) {
             return submit(call);
         }
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/Gateway.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/Gateway.java
@@ -55,7 +55,7 @@
     }
 
     private static InetSocketAddress parseAddress(String text) {
-        return SettingsCheck.parse(text);
+        return SettingsCheck.parseAddress(text);
     }
 
     private OperatorService.Health health() {
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/SchedulerClients.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/SchedulerClients.java
@@ -35,7 +35,7 @@
     SchedulerClients(GatewaySettings settings, MetricRegistry metrics) {
         this.metrics = metrics;
         for (GatewaySettings.Scheduler scheduler : settings.schedulers()) {
-            InetSocketAddress address = SettingsCheck.parse(scheduler.address());
+            InetSocketAddress address = SettingsCheck.parseAddress(scheduler.address());
             clients.put(scheduler.address(), WireClient.of(address));
         }
     }
--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/ViewService.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/ViewService.java
@@ -66,7 +66,7 @@
     record SchedulersView(List<SchedulerView> schedulers) {}
 
     @Override
-    public HttpReply answer(HttpCall call) throws HttpProblem {
+    public HttpReply handle(HttpCall call) throws HttpProblem {
         if (call.matches("GET", 2, "v1", "configuration")) {
             return HttpReply.ok(schedulers.routingTable().activeConfiguration());
         }
@@ -79,7 +79,7 @@
         if (call.matches("GET", 3, "v1", "targets")) {
             return listTargets(call.path().get(2));
         }
-        return commonService.answer(call);
+        return commonService.handle(call);
     }
 
     private DataCentresView dataCentresView() {
--- a/acacia-gateway/src/test/java/org/acaciaport/gateway/GatewayTest.java
+++ b/acacia-gateway/src/test/java/org/acaciaport/gateway/GatewayTest.java
@@ -114,10 +114,10 @@
 
     @Test
     void requestIsAcceptedAndItsCompleteAnswerReturned() throws Exception {
-        JsonClient.Answer accepted = post(VALID_SUBMISSION, "");
+        JsonClient.Response accepted = post(VALID_SUBMISSION, "");
         assertThat(accepted.status()).isEqualTo(202);
         assertThat(bodyText(accepted)).contains("\"request\":\"kicukiro_1_1\"");
-        JsonClient.Answer done = client.get(callersUri + "/v1/requests/kicukiro_1_1?wait=1000", CALL_TIMEOUT_MILLIS);
+        JsonClient.Response done = client.get(callersUri + "/v1/requests/kicukiro_1_1?wait=1000", CALL_TIMEOUT_MILLIS);
         assertThat(done.status()).isEqualTo(200);
         assertThat(bodyText(done)).contains("\"output\":\"all of it\"");
         assertThat(bodyText(post(VALID_SUBMISSION, "?wait=1000"))).contains("all of it");
@@ -201,7 +201,7 @@
 
     @Test
     void drainReturnsTheCurrentStatusToWaitingCallers() throws Exception {
-        CompletableFuture<JsonClient.Answer> waitingCall = new CompletableFuture<>();
+        CompletableFuture<JsonClient.Response> waitingCall = new CompletableFuture<>();
         requestPending = true;
         Thread.ofVirtual().start(() -> {
             try {
@@ -215,22 +215,22 @@
             Thread.sleep(5);
         }
         gateway.drain();
-        JsonClient.Answer answer = waitingCall.get();
+        JsonClient.Response answer = waitingCall.get();
         assertThat(answer.status()).isEqualTo(202);
         assertThat(bodyText(answer)).contains("running");
     }
 
-    private JsonClient.Answer post(String body, String query) throws Exception {
+    private JsonClient.Response post(String body, String query) throws Exception {
         java.net.http.HttpClient httpClient = java.net.http.HttpClient.newHttpClient();
         java.net.http.HttpResponse<byte[]> response = httpClient.send(
                 java.net.http.HttpRequest.newBuilder(java.net.URI.create(callersUri + "/v1/requests" + query))
                         .POST(java.net.http.HttpRequest.BodyPublishers.ofString(body))
                         .build(),
                 java.net.http.HttpResponse.BodyHandlers.ofByteArray());
-        return new JsonClient.Answer(response.statusCode(), response.body());
+        return new JsonClient.Response(response.statusCode(), response.body());
     }
 
-    private static void assertProblem(JsonClient.Answer answer, int status, String error, String reason)
+    private static void assertProblem(JsonClient.Response answer, int status, String error, String reason)
             throws Exception {
         HttpProblem.Body body = Codecs.json().readValue(answer.body(), HttpProblem.Body.class);
         assertThat(answer.status()).isEqualTo(status);
@@ -239,7 +239,7 @@
         assertThat(body.remedy()).isNotEmpty();
     }
 
-    private static String bodyText(JsonClient.Answer answer) {
+    private static String bodyText(JsonClient.Response answer) {
         return new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8);
     }
 
--- a/acacia-node/src/main/java/org/acaciaport/node/Term.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Term.java
@@ -244,9 +244,9 @@
         lastPurgeNanos = now.monotonicNanos();
         for (String id : pool.jobsEndedBefore(now.wallClockMillis() - ENDED_JOB_RETENTION_MILLIS)) {
             pool.removeJob(id);
-            tombstones.add(KeyedRecord.drop(JobRecords.PROGRESS_PREFIX + id));
-            tombstones.add(KeyedRecord.drop(JobRecords.CANCEL_PREFIX + id));
-            tombstones.add(KeyedRecord.drop(JobRecords.JOB_PREFIX + id));
+            tombstones.add(KeyedRecord.tombstone(JobRecords.PROGRESS_PREFIX + id));
+            tombstones.add(KeyedRecord.tombstone(JobRecords.CANCEL_PREFIX + id));
+            tombstones.add(KeyedRecord.tombstone(JobRecords.JOB_PREFIX + id));
         }
     }
 
--- a/acacia-node/src/test/java/org/acaciaport/node/LeaderElectionTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LeaderElectionTest.java
@@ -32,7 +32,7 @@
     private LeaderElection newElection() {
         ConfigurationView configuration = new ConfigurationView(record ->
                 new OperatorCodec.Published(new OperatorConfiguration(1, List.of(), Map.of(), Map.of(), Set.of("s"))));
-        configuration.apply(KeyedRecord.drop("config"), 0);
+        configuration.apply(KeyedRecord.tombstone("config"), 0);
         configuration.caughtUp(Clocks.now(), 1);
         Term.Dependencies dependencies =
                 new Term.Dependencies(replica, configuration, null, TOPICS, routes, new NoTargets());
--- a/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
@@ -70,7 +70,7 @@
             log.failure = MemoryLog.Failure.REFUSE;
             List<String> peers = List.of("127.0.0.1:" + peer.port());
             FailoverLog refusedLog = new FailoverLog(log, new Peers("self:1", () -> peers));
-            Append append = new Append(TOPIC, List.of(KeyedRecord.drop("k")), new Append.Always());
+            Append append = new Append(TOPIC, List.of(KeyedRecord.tombstone("k")), new Append.Always());
             assertThat(refusedLog.append(append, Clocks.deadlineAfter(5_000)))
                     .isInstanceOf(AppendOutcome.Appended.class);
             assertThat(refusedLog.isReachable()).isTrue();
@@ -97,7 +97,7 @@
                     .map(peer -> "127.0.0.1:" + peer.port())
                     .toList();
             FailoverLog failoverLog = new FailoverLog(log, new Peers("self:1", () -> peers));
-            Append append = new Append(TOPIC, List.of(KeyedRecord.drop("k")), new Append.Always());
+            Append append = new Append(TOPIC, List.of(KeyedRecord.tombstone("k")), new Append.Always());
             failoverLog.append(append, Clocks.deadlineAfter(5_000));
             assertThat(failoverLog.append(append, Clocks.deadlineAfter(5_000)))
                     .isInstanceOf(AppendOutcome.Appended.class);
@@ -155,7 +155,7 @@
     @Test
     void requestsAreRefusedImmediatelyWhileTheLogIsUnreachable() {
         log.failure = MemoryLog.Failure.REFUSE;
-        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.tombstone("config"));
         assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Refused.class);
         int calls = log.calls;
         assertThat(submit(jobService, "b")).isInstanceOf(JobService.Answer.Refused.class);
@@ -165,7 +165,7 @@
     /** Guards against delaying retries when only this node is partitioned, since the retry reaches another node. */
     @Test
     void callersOfAnIsolatedNodeRetryImmediately() {
-        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.tombstone("config"));
         assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Accepted.class);
         log.failure = MemoryLog.Failure.REFUSE;
         submit(jobService, "b");
@@ -196,7 +196,7 @@
     @Test
     void aLostAnswerIsNeverARefusal() {
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
-        assertThat(submit(newJobService(KeyedRecord.drop("config")), "a"))
+        assertThat(submit(newJobService(KeyedRecord.tombstone("config")), "a"))
                 .isInstanceOf(JobService.Answer.Undetermined.class);
     }
 
@@ -207,7 +207,7 @@
     @Test
     void aRequestOfUnknownOutcomeIsAnsweredEarlyWhileTheLogIsUnreachable() {
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
-        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.tombstone("config"));
         long deadline = Clocks.deadlineAfter(2_000);
         JobService.Answer answer = jobService.submit(ACCESS, "a", "payload", STEPS, Job.Schedule.NOW, deadline);
         assertThat(answer).isInstanceOf(JobService.Answer.Undetermined.class);
@@ -217,7 +217,7 @@
     /** Guards against answering a request with no time left as undetermined, although nothing was sent. */
     @Test
     void aRequestWithNoTimeLeftIsRefusedAndNotSent() {
-        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.tombstone("config"));
         JobService.Answer answer =
                 jobService.submit(ACCESS, "a", "payload", STEPS, Job.Schedule.NOW, System.nanoTime());
         assertThat(answer).isInstanceOf(JobService.Answer.Refused.class);
@@ -226,7 +226,7 @@
 
     @Test
     void aRepeatedSubmissionIsOneJobAndKeepsItsProgress() {
-        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.tombstone("config"));
         assertThat(submit(jobService, "a")).isInstanceOf(JobService.Answer.Accepted.class);
         append(JobRecords.encode(new JobProgress("a", JobState.DONE, 1, List.of(), List.of())));
         submit(jobService, "a");
@@ -237,7 +237,7 @@
 
     @Test
     void aJobOfAnotherAccountIsNotShown() {
-        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.tombstone("config"));
         submit(jobService, "a");
         JobService.Access.Granted other = new JobService.Access.Granted(QUEUE, "other", "a");
         assertThat(jobService.queryState(other, "a", shortDeadline())).isInstanceOf(JobService.Answer.NoJob.class);
@@ -246,7 +246,7 @@
 
     @Test
     void onlyACurrentReplicaReportsThatAJobDoesNotExist() {
-        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.tombstone("config"));
         assertThat(jobService.queryState(ACCESS, "none", shortDeadline())).isInstanceOf(JobService.Answer.NoJob.class);
         log.failure = MemoryLog.Failure.REFUSE;
         assertThat(jobService.queryState(ACCESS, "none", shortDeadline()))
@@ -255,7 +255,7 @@
 
     @Test
     void theReplicaIsRebuiltFromASnapshotWhenRecordsHaveExpired() {
-        JobService jobService = newJobService(KeyedRecord.drop("config"));
+        JobService jobService = newJobService(KeyedRecord.tombstone("config"));
         submit(jobService, "a");
         assertThat(jobConsumer.catchUp(shortDeadline())).isTrue();
         submit(jobService, "b");
@@ -296,9 +296,9 @@
     void aDeposedLeaderCannotAppend() {
         LeaderLogWriter first = new LeaderLogWriter(log, TOPIC, 5);
         assertThat(first.fenceEarlierTerms()).isTrue();
-        assertThat(first.append(List.of(KeyedRecord.drop("a")))).isTrue();
+        assertThat(first.append(List.of(KeyedRecord.tombstone("a")))).isTrue();
         assertThat(new LeaderLogWriter(log, TOPIC, 9).fenceEarlierTerms()).isTrue();
-        assertThat(first.append(List.of(KeyedRecord.drop("b")))).isFalse();
+        assertThat(first.append(List.of(KeyedRecord.tombstone("b")))).isFalse();
     }
 
     @Test
@@ -306,7 +306,7 @@
         LeaderLogWriter term = new LeaderLogWriter(log, TOPIC, 5);
         assertThat(term.fenceEarlierTerms()).isTrue();
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
-        Thread append = Thread.ofVirtual().start(() -> term.append(List.of(KeyedRecord.drop("a"))));
+        Thread append = Thread.ofVirtual().start(() -> term.append(List.of(KeyedRecord.tombstone("a"))));
         while (log.calls < 3) {
             Thread.onSpinWait();
         }
@@ -324,7 +324,7 @@
         JobService jobService = new JobService(dependencies, jobConsumer, 1, new MetricRegistry());
         assertThat(jobService.authorize("host", "/p/a", "key"))
                 .isInstanceOf(JobService.Access.StaleConfiguration.class);
-        configuration.apply(KeyedRecord.drop("config"), 0);
+        configuration.apply(KeyedRecord.tombstone("config"), 0);
         configuration.caughtUp(new org.acaciaport.pool.ClockReading(System.nanoTime(), 0), 1);
         assertThat(jobService.authorize("host", "/p/a", "key"))
                 .isInstanceOf(JobService.Access.StaleConfiguration.class);
--- a/acacia-platform/src/main/java/org/acaciaport/http/HttpService.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/HttpService.java
@@ -7,5 +7,5 @@
      *
      * @throws HttpProblem if the response is an error
      */
-    HttpReply answer(HttpCall call) throws HttpProblem;
+    HttpReply handle(HttpCall call) throws HttpProblem;
 }
--- a/acacia-platform/src/main/java/org/acaciaport/http/JettyParts.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JettyServers.java
@@ -9,11 +9,11 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /** Static factory methods for Jetty servers and their connectors. */
-public final class JettyParts {
-    private JettyParts() {}
+public final class JettyServers {
+    private JettyServers() {}
 
     /** Returns a new server without connectors that handles each request on a virtual thread. */
-    public static Server server(int maxThreads, int minThreads) {
+    public static Server newServer(int maxThreads, int minThreads) {
         QueuedThreadPool threads = new QueuedThreadPool(maxThreads, minThreads);
         threads.setVirtualThreadsExecutor(Executors.newVirtualThreadPerTaskExecutor());
         return new Server(threads);
@@ -24,7 +24,7 @@
      *
      * @param idleMillis time after which an idle connection is closed, in milliseconds
      */
-    public static ServerConnector listen(Server server, InetSocketAddress address, long idleMillis) {
+    public static ServerConnector addConnector(Server server, InetSocketAddress address, long idleMillis) {
         HttpConfiguration configuration = new HttpConfiguration();
         configuration.setSendServerVersion(false);
         ServerConnector connector = new ServerConnector(server, 1, 1, new HttpConnectionFactory(configuration));
--- a/acacia-platform/src/main/java/org/acaciaport/http/JsonClient.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JsonClient.java
@@ -80,7 +80,7 @@
      * @param status the HTTP status
      * @param body the complete body
      */
-    public record Answer(int status, byte[] body) {
+    public record Response(int status, byte[] body) {
         /**
          * Parses the body as JSON.
          *
@@ -103,7 +103,7 @@
      *
      * @throws PlatformException if there was no response within {@code millis} milliseconds
      */
-    public Answer get(String uri, long millis) throws PlatformException {
+    public Response get(String uri, long millis) throws PlatformException {
         return exchange(new RawCall("GET", uri, Map.of(), JSON, NO_BODY), millis);
     }
 
@@ -112,7 +112,7 @@
      *
      * @throws PlatformException if there was no response within {@code millis} milliseconds
      */
-    public Answer send(String method, String uri, Object body, long millis) throws PlatformException {
+    public Response send(String method, String uri, Object body, long millis) throws PlatformException {
         try {
             byte[] bytes = Codecs.json().writeValueAsBytes(body);
             return exchange(new RawCall(method, uri, Map.of(), JSON, bytes), millis);
@@ -138,7 +138,7 @@
      *
      * @throws PlatformException if there was no response within {@code millis} milliseconds
      */
-    public Answer exchange(RawCall call, long millis) throws PlatformException {
+    public Response exchange(RawCall call, long millis) throws PlatformException {
         Request request = client.newRequest(call.uri()).method(call.method());
         request.headers(fields -> call.headers().forEach(fields::put));
         if (call.body().length > 0) {
@@ -162,7 +162,7 @@
      * @throws PlatformException if it is not. The kind follows from the status: 410 is STALE_EPOCH, 412 is EXPIRED, 500
      *     and above are UNCERTAIN, and all others are NOT_DONE.
      */
-    public static Answer requireSuccess(String uri, Answer response) throws PlatformException {
+    public static Response requireSuccess(String uri, Response response) throws PlatformException {
         if (response.status() < MULTIPLE_CHOICES) {
             return response;
         }
@@ -181,13 +181,13 @@
         return mayHaveTakenEffect ? PlatformException.Kind.UNCERTAIN : PlatformException.Kind.NOT_DONE;
     }
 
-    private Answer send(Request request, long millis) throws PlatformException {
+    private Response send(Request request, long millis) throws PlatformException {
         request.timeout(millis, TimeUnit.MILLISECONDS);
         try {
             ContentResponse response = new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
                     .send()
                     .get();
-            return new Answer(response.getStatus(), response.getContent());
+            return new Response(response.getStatus(), response.getContent());
         } catch (ExecutionException e) {
             boolean connectionRefused = e.getCause() instanceof ConnectException;
             PlatformException.Kind kind =
--- a/acacia-platform/src/main/java/org/acaciaport/http/JsonServer.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JsonServer.java
@@ -43,8 +43,8 @@
     private final AtomicInteger inFlight = new AtomicInteger();
 
     private JsonServer(InetSocketAddress address, HttpService service) {
-        server = JettyParts.server(MAX_THREADS, MIN_THREADS);
-        connector = JettyParts.listen(server, address, IDLE_TIMEOUT_MILLIS);
+        server = JettyServers.newServer(MAX_THREADS, MIN_THREADS);
+        connector = JettyServers.addConnector(server, address, IDLE_TIMEOUT_MILLIS);
         server.setHandler(new JsonHandler(service));
     }
 
@@ -112,7 +112,7 @@
 
         private HttpReply handleCall(Request request) {
             try {
-                return service.answer(toCall(request));
+                return service.handle(toCall(request));
             } catch (HttpProblem e) {
                 return reply(e);
             } catch (Exception e) {
--- a/acacia-platform/src/main/java/org/acaciaport/program/OperatorService.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/OperatorService.java
@@ -40,7 +40,7 @@
     public record Health(boolean ready, String state) {}
 
     @Override
-    public HttpReply answer(HttpCall call) throws HttpProblem {
+    public HttpReply handle(HttpCall call) throws HttpProblem {
         if (call.matches("GET", 1, "healthz")) {
             Health current = health.get();
             return new HttpReply(current.ready() ? OK : UNAVAILABLE, current);
--- a/acacia-platform/src/main/java/org/acaciaport/program/SettingsCheck.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/SettingsCheck.java
@@ -40,7 +40,7 @@
 
     /** Requires an address of the form IP:PORT, with an IPv4 address. */
     public void address(String key, String value) {
-        if (parse(value) == null) {
+        if (parseAddress(value) == null) {
             problems.add("key '" + key + "' = \"" + value + "\" is not IP:PORT; use an IP address and a port");
         }
     }
@@ -56,7 +56,7 @@
     }
 
     /** Returns the socket address given by {@code text} as IP:PORT, or null if it is invalid. */
-    public static InetSocketAddress parse(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         Matcher matcher = ADDRESS.matcher(text);
         if (!matcher.matches()) {
             return null;
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
@@ -116,7 +116,7 @@
     }
 
     private static InetSocketAddress parseAddress(String text) {
-        return SettingsCheck.parse(text);
+        return SettingsCheck.parseAddress(text);
     }
 
     private OperatorService.Health health() {
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinPlatform.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinPlatform.java
@@ -49,7 +49,7 @@
     record Ok(boolean ok) {}
 
     @Override
-    public HttpReply answer(HttpCall call) throws HttpProblem {
+    public HttpReply handle(HttpCall call) throws HttpProblem {
         if (call.matches("POST", 1, "faults")) {
             faults.set(call.read(Faults.Setting.class));
             return HttpReply.ok(new Ok(true));
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinTargets.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinTargets.java
@@ -45,7 +45,7 @@
     record Started(String target, StandinTarget.StartRecord start) {}
 
     @Override
-    public HttpReply answer(HttpCall call) throws HttpProblem {
+    public HttpReply handle(HttpCall call) throws HttpProblem {
         if (call.matches("GET", 1, "starts")) {
             return HttpReply.ok(starts());
         }
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinsMain.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinsMain.java
@@ -31,7 +31,7 @@
         parser.addArgument("--accelerators").type(Integer.class).setDefault(8);
         try {
             Namespace parsed = parser.parseArgs(arguments);
-            JsonServer.start(SettingsCheck.parse(parsed.getString("listen")), createService(parsed));
+            JsonServer.start(SettingsCheck.parseAddress(parsed.getString("listen")), createService(parsed));
         } catch (HelpScreenException e) {
             System.exit(ExitCode.OK.code());
         } catch (ArgumentParserException e) {
