--- a/acacia-core/src/main/java/org/acaciaport/config/SliceAssignment.java
+++ b/acacia-core/src/main/java/org/acaciaport/config/SliceAssignment.java
@@ -106,12 +106,11 @@
         Assigner(Shape shape, List<TargetCapacity> capacities) {
             this.shape = shape;
             this.capacities = new LinkedHashMap<>();
-            capacities.forEach(p -> this.capacities.put(p.target(), p));
+            capacities.forEach(c -> this.capacities.put(c.target(), c));
         }
 
         SliceAssignment assign(List<ClientAccount> accounts, SliceAssignment previous) {
-            // All accounts keep their slices before any account gets new ones, so that no new slice displaces an old
-            // one.
+            // First keeps the slices of all accounts, so that no new slice displaces an old one.
             Map<String, List<String>> kept = new HashMap<>();
             for (ClientAccount account : accounts) {
                 kept.put(account.name(), keepPreviousSlices(account.name(), previous));
@@ -187,7 +186,7 @@
                     candidates.add(candidate);
                 }
             }
-            candidates.sort(Comparator.comparingInt((TargetCapacity p) -> remainingCapacity(account, p)));
+            candidates.sort(Comparator.comparingInt((TargetCapacity c) -> remainingCapacity(account, c)));
             List<String> chosen = new ArrayList<>(kept);
             for (TargetCapacity candidate : candidates) {
                 if (chosen.size() == shape.targets()) {
--- a/acacia-core/src/main/java/org/acaciaport/directory/Directory.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/Directory.java
@@ -59,7 +59,7 @@
      */
     public record ApplyResult(Directory directory, Verdict verdict) {}
 
-    /** Returns the offset of the first entry not yet applied. */
+    /** Returns the offset of the first entry that has not been applied. */
     public long nextOffset() {
         return nextOffset;
     }
--- a/acacia-core/src/main/java/org/acaciaport/directory/RequestState.java
+++ b/acacia-core/src/main/java/org/acaciaport/directory/RequestState.java
@@ -14,7 +14,7 @@
  * @param home name of the data centre that is responsible for it
  * @param intent the record of its current attempt; null if none is recorded
  * @param checkpointed whether a checkpoint exists from which the next attempt resumes
- * @param outcome its final answer; null if none yet
+ * @param outcome its final outcome; null while it is not finished
  */
 public record RequestState(
         Request request,
--- a/acacia-platform/src/main/java/org/acaciaport/http/JsonClient.java
+++ b/acacia-platform/src/main/java/org/acaciaport/http/JsonClient.java
@@ -205,7 +205,7 @@
         try {
             client.stop();
         } catch (Exception e) {
-            // Ignored: the client is closed when the process exits.
+            // Ignored: the process is about to exit.
         }
     }
 }
