--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/Gateway.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/Gateway.java
@@ -17,7 +17,7 @@
  * <p>Thread-safe. Call {@link #start} once, and {@link #drain} once after it has returned.
  */
 @Singleton
-public final class Gateway implements ServerProgram.Running {
+public final class Gateway implements ServerProgram.RunningServer {
     private static final Logger LOG = Logger.getLogger(Gateway.class);
 
     private final GatewaySettings settings;
@@ -55,7 +55,7 @@
     }
 
     private static InetSocketAddress parseAddress(String text) {
-        return SettingsCheck.parse(text);
+        return SettingsCheck.parseAddress(text);
     }
 
     private OperatorService.Health health() {
--- a/acacia-platform/src/main/java/org/acaciaport/program/LogSettings.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/LogSettings.java
@@ -1,14 +1,14 @@
 package org.acaciaport.program;
 
 /**
- * How a program writes its log.
+ * Settings of a program's logging.
  *
  * <p>Immutable.
  *
  * @param format {@code text} or {@code json}
  * @param level {@code debug}, {@code info}, {@code warn} or {@code error}
  */
-public record LogSettings(String format, String level) implements Settings.Checked {
+public record LogSettings(String format, String level) implements Settings.Checkable {
     @Override
     public void check(SettingsCheck check) {
         check.matches("log.format", format, "text|json", "text or json");
--- a/acacia-platform/src/main/java/org/acaciaport/program/Settings.java
+++ b/acacia-platform/src/main/java/org/acaciaport/program/Settings.java
@@ -10,13 +10,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.acaciaport.http.JsonProblems;
+import org.acaciaport.http.JsonErrors;
 import org.acaciaport.wire.Codecs;
 
 /**
- * Reads TOML files into records. Unknown keys, wrong types, missing keys and values out of range are errors.
+ * Static methods that read TOML files into records. Unknown keys, missing keys, values of the wrong type and values out
+ * of range are errors.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class Settings {
     private static final ObjectMapper TOML =
@@ -26,18 +27,18 @@
 
     private Settings() {}
 
-    /** A record of settings that knows which values are allowed. */
-    public interface Checked {
-        /** Adds every problem with the values. */
+    /** A settings record that can validate its values. */
+    public interface Checkable {
+        /** Validates all values with {@code check}, which collects the problems. */
         void check(SettingsCheck check);
     }
 
     /**
-     * Reads and checks {@code file}.
+     * Reads and validates {@code file}.
      *
-     * @throws SettingsException if it cannot be used
+     * @throws SettingsException if the file cannot be read, does not match {@code type}, or has invalid values
      */
-    public static <T extends Checked> T load(Path file, Class<T> type) throws SettingsException {
+    public static <T extends Checkable> T load(Path file, Class<T> type) throws SettingsException {
         T settings = read(file, type);
         SettingsCheck check = new SettingsCheck();
         settings.check(check);
@@ -49,9 +50,9 @@
     }
 
     /**
-     * Reads {@code file} without a check of values.
+     * Reads {@code file} without validating its values.
      *
-     * @throws SettingsException if it has another shape
+     * @throws SettingsException if the file cannot be read or does not match {@code type}
      */
     public static <T> T read(Path file, Class<T> type) throws SettingsException {
         String text;
@@ -69,18 +70,18 @@
 
     private static String describe(String text, JsonProcessingException error) {
         if (error instanceof UnrecognizedPropertyException unknown) {
-            return "unknown key '" + JsonProblems.path(unknown) + "'; remove it or correct its name ("
-                    + JsonProblems.describe(unknown) + ")";
+            return "unknown key '" + JsonErrors.path(unknown) + "'; remove it or correct its name ("
+                    + JsonErrors.describe(unknown) + ")";
         }
         if (error instanceof JsonMappingException mapping) {
-            String path = JsonProblems.path(mapping);
+            String path = JsonErrors.path(mapping);
             if (valueAt(text, path).equals(MISSING)) {
                 return "key '" + path + "' is missing; add it as in the sample settings";
             }
             return "key '" + path + "' = " + valueAt(text, path) + ": " + firstLine(mapping.getOriginalMessage())
                     + "; see the sample settings for its type";
         }
-        return JsonProblems.describe(error) + "; correct the syntax";
+        return JsonErrors.describe(error) + "; correct the syntax";
     }
 
     private static String valueAt(String text, String path) {
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/SoakMain.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/SoakMain.java
@@ -53,7 +53,7 @@
 
     private static void printResults(Namespace parsed, CellSimulation simulation) {
         Map<String, Integer> outcomes = new TreeMap<>();
-        simulation.answers().values().forEach(o -> outcomes.merge(o.word(), 1, Integer::sum));
+        simulation.answers().values().forEach(o -> outcomes.merge(o.statusName(), 1, Integer::sum));
         System.out.println("deployment " + parsed.getString("deployment") + " seed " + parsed.getLong("seed"));
         System.out.println("steps      " + simulation.steps());
         System.out.println("faults     " + simulation.faults());
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
@@ -30,7 +30,7 @@
 import org.acaciaport.decision.Phase;
 import org.acaciaport.decision.Violation;
 import org.acaciaport.directory.Directory;
-import org.acaciaport.directory.RequestEntry;
+import org.acaciaport.directory.RequestState;
 import org.acaciaport.platform.TargetClient;
 import org.acaciaport.record.LogRecord;
 import org.acaciaport.request.Request;
@@ -101,7 +101,7 @@
     /** Queues the configuration and the unfinished requests of {@code directory} and starts the deciding thread. */
     void start(Directory directory) {
         onEvent(new Event.Configured(directory.active()));
-        for (RequestEntry entry : directory.requests()) {
+        for (RequestState entry : directory.requests()) {
             if (entry.outcome() == null && entry.home().equals(settings.vm().dataCentre())) {
                 onEvent(new Event.Recovered(entry.request(), recoveredAttempt(entry), entry.checkpointed()));
             }
@@ -110,7 +110,7 @@
         Thread.ofPlatform().name("decider-" + epoch).daemon().start(this::processEvents);
     }
 
-    private static Optional<Attempt> recoveredAttempt(RequestEntry entry) {
+    private static Optional<Attempt> recoveredAttempt(RequestState entry) {
         return Optional.ofNullable(entry.intent()).map(intent -> new Attempt(intent.attempt(), intent.members(), 0));
     }
 
@@ -223,7 +223,7 @@
                 replica.append(
                         new LogRecord.Voided(recordVoid.request(), recordVoid.attempt(), recordVoid.checkpointed()));
             case Command.Answer answer -> {
-                metrics.counter("answer." + answer.outcome().word()).inc();
+                metrics.counter("answer." + answer.outcome().statusName()).inc();
                 outcomes.complete(answer.request().id(), answer.outcome());
                 replica.append(new LogRecord.Finished(answer.request().id(), answer.outcome()));
             }
@@ -327,7 +327,7 @@
                 && CellState.epochOf(task.attempt()) < epoch
                 && job.phase() instanceof Phase.Queued
                 && job.profile().idempotent()
-                && !job.profile().gang();
+                && !job.profile().runsAsGang();
     }
 
     /** Passes the task's state to the decider unless it is that state already. */
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
@@ -40,7 +40,7 @@
  * and receives every entry that follows.
  */
 @Singleton
-public final class Scheduler implements LogReplica.Listener, ServerProgram.Running {
+public final class Scheduler implements LogReplica.Listener, ServerProgram.RunningServer {
     private static final Logger LOG = Logger.getLogger(Scheduler.class);
     /** Renewals of the permit to start work within its duration. */
     private static final int PERMIT_RENEWALS_PER_LEASE = 6;
@@ -116,7 +116,7 @@
     }
 
     private static InetSocketAddress parseAddress(String text) {
-        return SettingsCheck.parse(text);
+        return SettingsCheck.parseAddress(text);
     }
 
     private OperatorService.Health health() {
