--- a/acacia-pool/src/main/java/org/acaciaport/pool/ClockReading.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/ClockReading.java
@@ -6,7 +6,7 @@
  * <p>Immutable.
  *
  * @param monotonicNanos monotonic clock, in nanoseconds; comparable only with readings taken in the same process
- * @param wallClockMillis wall clock, in milliseconds since the epoch
+ * @param wallClockMillis wall clock, in milliseconds since the Unix epoch
  */
 public record ClockReading(long monotonicNanos, long wallClockMillis) {
     private static final long NANOS_PER_MILLI = 1_000_000;
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Job.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Job.java
@@ -15,7 +15,7 @@
  * @param payload text passed to each task
  * @param steps steps of the job; a step depends only on earlier ones
  * @param schedule times at which the steps run
- * @param acceptedMillis time of acceptance, in milliseconds since the epoch
+ * @param acceptedMillis time of acceptance, in milliseconds since the Unix epoch
  */
 public record Job(
         String id,
@@ -46,7 +46,7 @@
      * The times at which the steps of a job run.
      *
      * @param times number of occurrences; 0 for a single one that is due at acceptance
-     * @param firstMillis due time of the first occurrence, in milliseconds since the epoch
+     * @param firstMillis due time of the first occurrence, in milliseconds since the Unix epoch
      * @param intervalMillis time between due times of successive occurrences, in milliseconds
      */
     public record Schedule(int times, long firstMillis, long intervalMillis) {
@@ -59,7 +59,7 @@
         return Math.max(1, schedule.times());
     }
 
-    /** Returns the due time of occurrence {@code number}, in milliseconds since the epoch. */
+    /** Returns the due time of occurrence {@code number}, in milliseconds since the Unix epoch. */
     public long dueMillis(int number) {
         return schedule.times() == 0 ? acceptedMillis : schedule.firstMillis() + number * schedule.intervalMillis();
     }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/JobExecution.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/JobExecution.java
@@ -52,7 +52,7 @@
         return id.index() < 0 || id.index() >= tasks.size() ? null : tasks.get(id.index());
     }
 
-    /** Opens the occurrences that are due by {@code nowMillis}, in milliseconds since the epoch. */
+    /** Opens the occurrences that are due by {@code nowMillis}, in milliseconds since the Unix epoch. */
     void openDueOccurrences(long nowMillis) {
         int next = 0;
         if (!openOccurrences.isEmpty()) {
@@ -117,11 +117,11 @@
                 state,
                 endedMillis,
                 ended ? List.of() : List.copyOf(doneOccurrences),
-                tasksToStore(tasks, ended));
+                tasksToPersist(tasks, ended));
     }
 
     /** Filters the tasks to persist: for an ended job, only those with a run that may still be active. */
-    private static List<JobProgress.Task> tasksToStore(List<JobProgress.Task> tasks, boolean ended) {
+    private static List<JobProgress.Task> tasksToPersist(List<JobProgress.Task> tasks, boolean ended) {
         if (!ended) {
             return tasks;
         }
--- a/acacia-pool/src/main/java/org/acaciaport/pool/JobProgress.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/JobProgress.java
@@ -9,7 +9,7 @@
  *
  * @param id id of the job
  * @param state state of the job
- * @param endedMillis time at which the job ended, in milliseconds since the epoch; 0 until then
+ * @param endedMillis time at which the job ended, in milliseconds since the Unix epoch; 0 until then
  * @param doneOccurrences indices of the occurrences whose tasks are all done; empty once the job has ended
  * @param tasks tasks of other occurrences that have started at least once; once the job has ended, only those whose
  *     newest run may still be active
--- a/acacia-pool/src/main/java/org/acaciaport/pool/Pool.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/Pool.java
@@ -81,23 +81,23 @@
         execution.endedMillis = progress.endedMillis();
         execution.doneOccurrences.addAll(progress.doneOccurrences());
         jobs.put(job.id(), execution);
-        for (JobProgress.Task stored : progress.tasks()) {
-            restore(execution, stored, now);
+        for (JobProgress.Task persisted : progress.tasks()) {
+            restore(execution, persisted, now);
         }
     }
 
-    private void restore(JobExecution execution, JobProgress.Task stored, ClockReading now) {
-        StepExecution step = execution.occurrence(stored.occurrence()).get(stored.step());
-        TaskExecution task = step.tasks.get(stored.index());
-        task.lastRun = stored.lastRun();
-        task.failures = stored.failures();
-        task.checkpoint = stored.saved();
-        if (stored.done()) {
+    private void restore(JobExecution execution, JobProgress.Task persisted, ClockReading now) {
+        StepExecution step = execution.occurrence(persisted.occurrence()).get(persisted.step());
+        TaskExecution task = step.tasks.get(persisted.index());
+        task.lastRun = persisted.lastRun();
+        task.failures = persisted.failures();
+        task.checkpoint = persisted.saved();
+        if (persisted.done()) {
             task.phase = Phase.DONE;
             step.doneTaskCount++;
-        } else if (!stored.target().isEmpty()) {
-            TargetState target = targets.computeIfAbsent(stored.target(), TargetState::new);
-            task.incarnation = stored.incarnation();
+        } else if (!persisted.target().isEmpty()) {
+            TargetState target = targets.computeIfAbsent(persisted.target(), TargetState::new);
+            task.incarnation = persisted.incarnation();
             task.confirmedNanos = now.monotonicNanos();
             task.lastProgressNanos = now.monotonicNanos();
             target.put(task, execution.state.isTerminal() ? Phase.STOPPING : Phase.RUNNING);
@@ -314,7 +314,9 @@
     }
 
     /**
-     * Returns the ids of jobs without active runs that ended before {@code millis}, in milliseconds since the epoch.
+     * Returns the ids of jobs without active runs that ended before {@code millis}.
+     *
+     * @param millis wall clock, in milliseconds since the Unix epoch
      */
     public List<String> jobsEndedBefore(long millis) {
         List<String> ids = new ArrayList<>();
--- a/acacia-pool/src/main/java/org/acaciaport/pool/PreemptionPlanner.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/PreemptionPlanner.java
@@ -26,7 +26,7 @@
     private static final double PREEMPTION_DELAY_SECONDS = 1.5;
 
     /** Cost factor of stopping a task of the highest priority. */
-    private static final int URGENT_WEIGHT = 5;
+    private static final int HIGHEST_PRIORITY_WEIGHT = 5;
 
     /** Minimum cost of a victim, in core-seconds, so that a run that has only just started is not stopped for free. */
     private static final double MIN_LOSS_CORE_SECONDS = 1.0;
@@ -172,7 +172,7 @@
      * makes them late; earlier preemptions raise the factor so that they do not always hit the same step.
      */
     private static int costMultiplier(TaskExecution task) {
-        int weight = task.job().terms().priority() == 0 ? URGENT_WEIGHT : 1;
+        int weight = task.job().terms().priority() == 0 ? HIGHEST_PRIORITY_WEIGHT : 1;
         return weight * (1 + task.step.preemptionCount);
     }
 
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TargetInfo.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TargetInfo.java
@@ -17,7 +17,7 @@
  * @param draining whether the target is shutting down and accepts no new work
  * @param departureNanos for a draining target, the monotonic clock reading before which it does not shut down; 0 if
  *     unknown
- * @param incarnation incarnation number, which grows with each restart: start time in milliseconds since the epoch
+ * @param incarnation incarnation number, which grows with each restart: start time in milliseconds since the Unix epoch
  */
 public record TargetInfo(
         String id,
--- a/acacia-pool/src/main/java/org/acaciaport/pool/TaskLifecycle.java
+++ b/acacia-pool/src/main/java/org/acaciaport/pool/TaskLifecycle.java
@@ -134,7 +134,7 @@
         }
         for (TaskExecution member : task.step.tasks) {
             if (wasSent || member.phase == Phase.RESERVED) {
-                releaseOrStop(member, now);
+                cancelReservationOrStop(member, now);
             }
         }
     }
@@ -142,11 +142,11 @@
     /** Stops all runs of {@code job} and cancels its reservations. */
     void stopAll(JobExecution job, ClockReading now) {
         targetHealth.removeJob(job.spec.id());
-        job.tasks().forEach(task -> releaseOrStop(task, now));
+        job.tasks().forEach(task -> cancelReservationOrStop(task, now));
     }
 
     /** Cancels the reservation of the task, or stops its run if it is not stopping yet. */
-    private void releaseOrStop(TaskExecution task, ClockReading now) {
+    private void cancelReservationOrStop(TaskExecution task, ClockReading now) {
         if (task.phase == Phase.RESERVED) {
             cancelReservation(task);
         } else if (task.phase == Phase.STARTING || task.phase == Phase.RUNNING) {
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolFixture.java
@@ -31,13 +31,13 @@
     void addTarget(String id, String rack) {
         incarnations.put(id, 1L);
         pool.register(
-                new TargetInfo(id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, false, 0, 1));
+                new TargetInfo(id, SERVICE, "address", "dc", rack, Set.of("a", rack), TARGET_CAPACITY, false, 0, 1));
         report(id);
     }
 
     void drainTarget(String id, String rack, long departureNanos) {
         pool.register(new TargetInfo(
-                id, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, true, departureNanos, 1));
+                id, SERVICE, "address", "dc", rack, Set.of("a", rack), TARGET_CAPACITY, true, departureNanos, 1));
     }
 
     void setGuarantee(String account, long accelerators) {
@@ -128,7 +128,7 @@
         running.values().removeIf(start -> start.target().equals(target));
         endCounts.remove(target);
         pool.register(new TargetInfo(
-                target, SERVICE, "address", "zone", rack, Set.of("a", rack), TARGET_CAPACITY, false, 0, incarnation));
+                target, SERVICE, "address", "dc", rack, Set.of("a", rack), TARGET_CAPACITY, false, 0, incarnation));
     }
 
     private List<TargetReport.Running> runningOn(String target) {
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolSimulation.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolSimulation.java
@@ -118,7 +118,7 @@
             String id = "t%03d".formatted(i);
             String rack = "r" + i / deployment.rackSize;
             pool.register(new TargetInfo(
-                    id, PoolFixture.SERVICE, "address", "zone", rack, Set.of(rack), deployment.target, false, 0, 1));
+                    id, PoolFixture.SERVICE, "address", "dc", rack, Set.of(rack), deployment.target, false, 0, 1));
             schedule(i * REPORT_INTERVAL_MILLIS / deployment.targets, () -> reportPeriodically(id));
         }
     }
