--- a/acacia-node/src/main/java/org/acaciaport/node/CancelRecord.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/CancelRecord.java
@@ -6,6 +6,6 @@
  * <p>Immutable.
  *
  * @param id id of the job
- * @param askedMillis time of the request, in milliseconds since 1970
+ * @param askedMillis time of the request, in milliseconds since the Unix epoch
  */
 public record CancelRecord(String id, long askedMillis) {}
--- a/acacia-node/src/main/java/org/acaciaport/node/Clocks.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Clocks.java
@@ -2,7 +2,7 @@
 
 import org.acaciaport.pool.ClockReading;
 
-/** Readings of the monotonic clock and the time of day. Thread-safe. */
+/** Readings of the monotonic clock and the wall clock. Thread-safe. */
 final class Clocks {
     static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -24,7 +24,7 @@
 
     /**
      * Returns the age of {@code then} in milliseconds, by the clock that shows more. The monotonic clock does not
-     * advance while the process is suspended, and the time of day may be set back.
+     * advance while the process is suspended, and the wall clock may be set back.
      */
     static long ageMillis(ClockReading then) {
         ClockReading now = now();
--- a/acacia-node/src/main/java/org/acaciaport/node/ConfigurationView.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/ConfigurationView.java
@@ -16,7 +16,7 @@
 final class ConfigurationView implements TopicConsumer.Sink {
     private static final Logger LOG = Logger.getLogger(ConfigurationView.class);
 
-    private final OperatorCodec codec;
+    private final OperatorRecordDecoder decoder;
 
     /** Data centres with an evacuation record in the log as far as it has been read. */
     private final Set<String> requestedEvacuations = new TreeSet<>();
@@ -28,8 +28,8 @@
     private ClockReading asOf;
     private Runnable listener = () -> {};
 
-    ConfigurationView(OperatorCodec codec) {
-        this.codec = codec;
+    ConfigurationView(OperatorRecordDecoder decoder) {
+        this.decoder = decoder;
     }
 
     @Override
@@ -40,16 +40,16 @@
 
     @Override
     public synchronized void apply(KeyedRecord record, long offset) {
-        switch (codec.decodePublished(record)) {
-            case OperatorCodec.Published published -> applyConfiguration(published.configuration());
-            case OperatorCodec.Evacuation evacuation -> {
+        switch (decoder.decodePublished(record)) {
+            case OperatorRecordDecoder.Published published -> applyConfiguration(published.configuration());
+            case OperatorRecordDecoder.Evacuation evacuation -> {
                 if (evacuation.requested()) {
                     requestedEvacuations.add(evacuation.dataCentre());
                 } else {
                     requestedEvacuations.remove(evacuation.dataCentre());
                 }
             }
-            case OperatorCodec.Ignored ignored ->
+            case OperatorRecordDecoder.Ignored ignored ->
                 LOG.infof("configuration: key=%s outcome=ignored reason=%s", record.key(), ignored.reason());
         }
     }
@@ -68,8 +68,8 @@
     }
 
     @Override
-    public synchronized void caughtUp(ClockReading moment, long nextOffset) {
-        asOf = moment;
+    public synchronized void caughtUp(ClockReading asOf, long nextOffset) {
+        this.asOf = asOf;
         if (!activeEvacuations.equals(requestedEvacuations)) {
             activeEvacuations = Set.copyOf(requestedEvacuations);
             LOG.infof("configuration: evacuated=%s offset=%s outcome=in-force", activeEvacuations, nextOffset);
--- a/acacia-node/src/main/java/org/acaciaport/node/FailoverLog.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/FailoverLog.java
@@ -68,7 +68,7 @@
         return reachable;
     }
 
-    /** Returns whether neither the log nor a peer has answered recently, so that only this node may be partitioned. */
+    /** Returns whether neither the log nor a peer has answered recently, so probably only this node is partitioned. */
     boolean isIsolated() {
         return !reachable && Clocks.millisUntil(lastContactNanos) < -ISOLATION_TIMEOUT_MILLIS;
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/JobService.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/JobService.java
@@ -40,20 +40,20 @@
     private final Replica replica;
     private final TopicConsumer jobConsumer;
     private final ConfigurationView configurationView;
-    private final long configurationMaxAgeMillis;
+    private final long maxConfigurationAgeMillis;
     private final MetricRegistry metrics;
 
     JobService(
             Term.Dependencies dependencies,
             TopicConsumer jobConsumer,
-            long configurationMaxAgeMillis,
+            long maxConfigurationAgeMillis,
             MetricRegistry metrics) {
         this.topics = dependencies.topics();
         this.log = dependencies.log();
         this.replica = dependencies.replica();
         this.configurationView = dependencies.configuration();
         this.jobConsumer = jobConsumer;
-        this.configurationMaxAgeMillis = configurationMaxAgeMillis;
+        this.maxConfigurationAgeMillis = maxConfigurationAgeMillis;
         this.metrics = metrics;
     }
 
@@ -118,7 +118,7 @@
             return new Access.StaleConfiguration("no configuration yet");
         }
         long age = Clocks.ageMillis(asOf);
-        if (age > configurationMaxAgeMillis) {
+        if (age > maxConfigurationAgeMillis) {
             return new Access.StaleConfiguration("configuration was last confirmed " + age + " ms ago");
         }
         OperatorConfiguration.Queue queue = configuration.findQueue(host, path);
@@ -140,7 +140,7 @@
         return asOf != null
                 && replicaAsOf != null
                 && configurationView.latest() != null
-                && Clocks.ageMillis(asOf) < configurationMaxAgeMillis
+                && Clocks.ageMillis(asOf) < maxConfigurationAgeMillis
                 && Clocks.ageMillis(replicaAsOf) < MAX_READY_STALENESS_MILLIS;
     }
 
--- a/acacia-node/src/main/java/org/acaciaport/node/LeaderElection.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/LeaderElection.java
@@ -85,7 +85,7 @@
         ClockReading current = dependencies.replica().asOf();
         long readMillis = Clocks.now().millisSince(readStart.monotonicNanos());
         Replica.Leader leader = dependencies.replica().leader();
-        if (current == null || hasDefinitelyEnded(leader)) {
+        if (current == null || isDefinitelyVacant(leader)) {
             return current != null;
         }
         return current.millisSince(leader.receivedNanos()) > FAILURE_TIMEOUT_MILLIS + READ_DURATION_FACTOR * readMillis;
@@ -94,13 +94,13 @@
     /** Returns whether the replica as of {@code asOf} shows no live leader. */
     private boolean hasNoLiveLeader(ClockReading asOf) {
         Replica.Leader leader = dependencies.replica().leader();
-        return hasDefinitelyEnded(leader) || asOf.millisSince(leader.receivedNanos()) > FAILURE_TIMEOUT_MILLIS;
+        return isDefinitelyVacant(leader) || asOf.millisSince(leader.receivedNanos()) > FAILURE_TIMEOUT_MILLIS;
     }
 
     /**
      * Returns whether there is certainly no leader: none so far, one that resigned, or this node before its restart.
      */
-    private boolean hasDefinitelyEnded(Replica.Leader leader) {
+    private boolean isDefinitelyVacant(Replica.Leader leader) {
         return leader == null || leader.record().resigned() || self.replaces(leader.record());
     }
 
--- a/acacia-node/src/main/java/org/acaciaport/node/LeaderRecord.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/LeaderRecord.java
@@ -6,7 +6,7 @@
  * <p>Immutable.
  *
  * @param node name of the leading node
- * @param startedMillis when its process started, in milliseconds since 1970
+ * @param startedMillis when its process started, in milliseconds since the Unix epoch
  * @param resigned whether it has resigned
  */
 public record LeaderRecord(String node, long startedMillis, boolean resigned) {
--- a/acacia-node/src/main/java/org/acaciaport/node/Node.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Node.java
@@ -14,7 +14,7 @@
 import org.jboss.logging.Logger;
 
 /**
- * The scheduler of one VM, without its adapters to HTTP and the store.
+ * The scheduler of one VM, without the adapters to the platform that hosts it.
  *
  * <p>Thread-safe once started.
  */
@@ -48,35 +48,39 @@
      * The settings of a node.
      *
      * @param name name of the node
-     * @param wire address at which it serves the wire protocol to other nodes
+     * @param wireAddress address at which it serves the wire protocol to other nodes
      * @param seeds addresses of other nodes, which may be stale
      * @param topics topics in the shared log
-     * @param configurationMaxAgeMillis age up to which the operators' configuration counts as current, in milliseconds
+     * @param maxConfigurationAgeMillis age up to which the operators' configuration counts as current, in milliseconds
      */
     public record Settings(
             String name,
-            InetSocketAddress wire,
+            InetSocketAddress wireAddress,
             Supplier<List<String>> seeds,
             Topics topics,
-            long configurationMaxAgeMillis) {}
+            long maxConfigurationAgeMillis) {}
 
     /**
      * The external systems that a node uses.
      *
      * @param log the shared log
      * @param calls sends commands to targets
-     * @param operators decodes the operators' records
-     * @param targets decodes the registrations of targets
+     * @param operatorDecoder decodes the operators' records
+     * @param targetDecoder decodes the registrations of targets
      */
-    public record Ports(KeyedLog log, TargetCalls calls, OperatorCodec operators, TargetCodec targets) {}
+    public record Dependencies(
+            KeyedLog log,
+            TargetCalls calls,
+            OperatorRecordDecoder operatorDecoder,
+            TargetRecordDecoder targetDecoder) {}
 
     /** Creates a node that is not yet started. */
-    public Node(Settings settings, Ports ports, MetricRegistry metrics) {
+    public Node(Settings settings, Dependencies dependencies, MetricRegistry metrics) {
         this.settings = settings;
-        log = new FailoverLog(ports.log(), new Peers(address(settings.wire()), this::peerAddresses));
-        ConfigurationView configuration = new ConfigurationView(ports.operators());
-        Term.Dependencies dependencies =
-                new Term.Dependencies(replica, configuration, ports.calls(), settings.topics(), log, ports.targets());
+        log = new FailoverLog(dependencies.log(), new Peers(address(settings.wireAddress()), this::peerAddresses));
+        ConfigurationView configuration = new ConfigurationView(dependencies.operatorDecoder());
+        Term.Dependencies termDependencies = new Term.Dependencies(
+                replica, configuration, dependencies.calls(), settings.topics(), log, dependencies.targetDecoder());
         jobConsumer = new TopicConsumer(
                 settings.topics().jobs(),
                 log,
@@ -86,8 +90,8 @@
         operatorConsumer = new TopicConsumer(settings.topics().operators(), log, operatorPollSettings, configuration);
         SplittableRandom random = new SplittableRandom(System.nanoTime());
         LeaderRecord self = new LeaderRecord(settings.name(), System.currentTimeMillis(), false);
-        leaderElection = new LeaderElection(self, dependencies, jobConsumer, random);
-        jobService = new JobService(dependencies, jobConsumer, settings.configurationMaxAgeMillis(), metrics);
+        leaderElection = new LeaderElection(self, termDependencies, jobConsumer, random);
+        jobService = new JobService(termDependencies, jobConsumer, settings.maxConfigurationAgeMillis(), metrics);
     }
 
     private static String address(InetSocketAddress address) {
@@ -107,7 +111,7 @@
      * @throws IOException if the wire address cannot be bound
      */
     public void start() throws IOException {
-        server = WireServer.start(settings.wire(), log);
+        server = WireServer.start(settings.wireAddress(), log);
         operatorConsumer.start();
         jobConsumer.start();
         leaderElection.start();
@@ -116,7 +120,7 @@
 
     /** Publishes this node's address in the log; retries until that is durable. */
     private void announce() {
-        NodeRecord record = new NodeRecord(settings.name(), address(settings.wire()));
+        NodeRecord record = new NodeRecord(settings.name(), address(settings.wireAddress()));
         Append append = new Append(settings.topics().jobs(), List.of(JobRecords.encode(record)), new Append.Always());
         while (!(log.append(append, Clocks.deadlineAfter(DURABLE_TIMEOUT_MILLIS)) instanceof AppendOutcome.Appended)) {
             if (!Clocks.sleep(ANNOUNCE_RETRY_DELAY_MILLIS)) {
--- a/acacia-node/src/main/java/org/acaciaport/node/OperatorConfiguration.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OperatorConfiguration.java
@@ -23,7 +23,7 @@
         Map<String, String> accountsByKey,
         Map<String, Long> guaranteedAccelerators,
         Set<String> services) {
-    /** Copies the collections. */
+    /** Creates a configuration with immutable copies of the collections. */
     public OperatorConfiguration {
         queues = List.copyOf(queues);
         accountsByKey = Map.copyOf(accountsByKey);
@@ -34,12 +34,12 @@
     /**
      * A queue, which callers address by a URL prefix.
      *
-     * @param name its name
-     * @param host host of its URLs
-     * @param prefix prefix of the paths of its URLs
-     * @param service the service whose targets run its tasks
+     * @param name name of the queue
+     * @param host host of the URLs
+     * @param prefix prefix of the paths of the URLs
+     * @param service the service whose targets run the tasks
      * @param allowsAnonymous whether callers need no API key
-     * @param terms priority, retry and objective settings of its jobs
+     * @param terms priority, retry and objective settings of the jobs
      */
     public record Queue(
             String name, String host, String prefix, String service, boolean allowsAnonymous, Job.Terms terms) {}
--- a/acacia-node/src/main/java/org/acaciaport/node/OperatorCodec.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/OperatorRecordDecoder.java
@@ -3,7 +3,7 @@
 import org.acaciaport.log.KeyedRecord;
 
 /** Decodes the records that operators publish. Implementations are thread-safe. */
-public interface OperatorCodec {
+public interface OperatorRecordDecoder {
     /** Decodes one record. */
     Entry decodePublished(KeyedRecord record);
 
@@ -17,7 +17,7 @@
      * The start or end of the evacuation of a data centre, during which it gets no new work.
      *
      * @param dataCentre name of the data centre
-     * @param requested whether the evacuation is in effect; false to end it
+     * @param requested true to start the evacuation, false to end it
      */
     record Evacuation(String dataCentre, boolean requested) implements Entry {}
 
--- a/acacia-node/src/main/java/org/acaciaport/node/RegistrationTracker.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/RegistrationTracker.java
@@ -11,15 +11,15 @@
  * <p>Guarded by the lock of its consumer. Targets that a new snapshot no longer contains count as unregistered.
  */
 final class RegistrationTracker implements TopicConsumer.Sink {
-    private final TargetCodec codec;
+    private final TargetRecordDecoder decoder;
     private final Term term;
     private final Set<String> registered = new HashSet<>();
 
     /** Targets registered before a reset that the snapshot has not yet confirmed. */
     private final Set<String> unconfirmed = new HashSet<>();
 
-    RegistrationTracker(TargetCodec codec, Term term) {
-        this.codec = codec;
+    RegistrationTracker(TargetRecordDecoder decoder, Term term) {
+        this.decoder = decoder;
         this.term = term;
     }
 
@@ -30,12 +30,12 @@
 
     @Override
     public void apply(KeyedRecord record, long offset) {
-        codec.targetId(record).ifPresent(id -> {
+        decoder.targetId(record).ifPresent(id -> {
             if (record.value().length == 0) {
                 unregister(id);
                 return;
             }
-            codec.decodeTarget(record).ifPresent(info -> {
+            decoder.decodeTarget(record).ifPresent(info -> {
                 unconfirmed.remove(id);
                 registered.add(id);
                 term.register(info);
--- a/acacia-node/src/main/java/org/acaciaport/node/Replica.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Replica.java
@@ -65,9 +65,9 @@
     }
 
     @Override
-    public synchronized void caughtUp(ClockReading moment, long end) {
-        asOf = moment;
-        nextOffset = end;
+    public synchronized void caughtUp(ClockReading asOf, long nextOffset) {
+        this.asOf = asOf;
+        this.nextOffset = nextOffset;
     }
 
     private void applyRecord(KeyedRecord record) throws IOException {
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetCalls.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetCalls.java
@@ -9,7 +9,7 @@
     /**
      * The target to call.
      *
-     * @param id name of the target; another target at the address rejects the call
+     * @param id id of the target; another target at the address rejects the call
      * @param address host and port
      */
     record Endpoint(String id, String address) {}
@@ -18,8 +18,8 @@
      * A request to start a run of a task.
      *
      * @param task the task
-     * @param run number of the start
-     * @param payload input of the task
+     * @param run run number of the task
+     * @param payload text passed to the task
      * @param checkpoint checkpoint to resume from; empty for none
      * @param leaseEndMillis end of the requested lease, on the target's clock, in milliseconds
      * @param fence fencing token
@@ -30,20 +30,20 @@
      * A request for a report, which also renews the lease.
      *
      * @param fence fencing token
-     * @param acknowledged number of the last ended run that need not be reported again
+     * @param acknowledged sequence number of the last ended run that need not be reported again
      * @param leaseEndMillis end of the requested lease, on the target's clock, in milliseconds; empty to not renew it
      * @param waitMillis how long the target may hold back the report until a run ends, in milliseconds
      */
     record ReportRequest(long fence, long acknowledged, OptionalLong leaseEndMillis, long waitMillis) {}
 
     /** Starts a run. */
-    CommandReply start(Endpoint target, StartRequest call, long timeoutMillis);
+    CommandReply start(Endpoint target, StartRequest request, long timeoutMillis);
 
     /** Stops a run; if it has not started, the target rejects a later start of it. */
     CommandReply stop(Endpoint target, TaskId task, int run, long fence, long timeoutMillis);
 
     /** Requests a report. */
-    ReportReply report(Endpoint target, ReportRequest call, long timeoutMillis);
+    ReportReply report(Endpoint target, ReportRequest request, long timeoutMillis);
 
     /** The reply to a command. */
     sealed interface CommandReply {}
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetCodec.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetRecordDecoder.java
@@ -5,7 +5,7 @@
 import org.acaciaport.pool.TargetInfo;
 
 /** Decodes the registrations of targets. Implementations are thread-safe. */
-public interface TargetCodec {
+public interface TargetRecordDecoder {
     /** Returns the id of the target that a record refers to, or empty if it refers to none. */
     Optional<String> targetId(KeyedRecord record);
 
--- a/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TargetSession.java
@@ -43,14 +43,14 @@
     private static final long PAUSE_MILLIS = 80;
 
     /** How long a target that did not answer gets no new work, in milliseconds. */
-    private static final long AVOID_MILLIS = 700;
+    private static final long EXCLUSION_MILLIS = 700;
 
     /** Age from which a start command that had no effect is abandoned rather than sent again, in milliseconds. */
     private static final long RESEND_LIMIT_MILLIS = 1_500;
 
     /** Receives the events of a session, on the session's threads. Implementations must not block. */
     interface Events {
-        /** Called with unanswered report of the current or a new incarnation of the target. */
+        /** Called with each report of the current or a newer incarnation of the target. */
         void reported(TargetReport report);
 
         /** Called when the target has confirmed a start. */
@@ -59,12 +59,16 @@
         /**
          * Called when a start has not happened and cannot happen any more.
          *
-         * @param avoidMillis how long the target should get no new work, in milliseconds
+         * @param exclusionMillis how long the target should get no new work, in milliseconds
          */
-        void notStarted(TargetCommand.Start start, String reason, long avoidMillis);
+        void notStarted(TargetCommand.Start start, String reason, long exclusionMillis);
 
-        /** Called when the target did not answer; it should get no new work for {@code avoidMillis} milliseconds. */
-        void unresponsive(String target, long avoidMillis);
+        /**
+         * Called when the target did not answer.
+         *
+         * @param exclusionMillis how long the target should get no new work, in milliseconds
+         */
+        void unresponsive(String target, long exclusionMillis);
 
         /** Called when the lease has expired, so that no run is left on the target. */
         void leaseExpired(String target);
@@ -96,10 +100,10 @@
     /** Confirmed incarnation of the target; 0 until a report confirms it. */
     private long incarnation;
 
-    /** Number of the last ended run whose record is durable, so that the target need not report it again. */
+    /** Sequence number of the last ended run whose record is durable; the target need not report it again. */
     private long lastAcknowledgedEnd;
 
-    /** Number of the last ended run that the target has reported. */
+    /** Sequence number of the last ended run that the target has reported. */
     private long lastReportedEnd;
 
     private final TargetLease lease;
@@ -158,7 +162,7 @@
         notifyAll();
     }
 
-    /** Records that the ended runs of {@code ofIncarnation} up to number {@code upTo} are durable. */
+    /** Records that the ended runs of {@code ofIncarnation} up to sequence number {@code upTo} are durable. */
     synchronized void acknowledge(long ofIncarnation, long upTo) {
         if (ofIncarnation == incarnation && upTo > lastAcknowledgedEnd) {
             lastAcknowledgedEnd = upTo;
@@ -218,14 +222,14 @@
     /** Requests one report; returns whether it was received. */
     private boolean pollReport(long waitMillis) {
         long fence = fence();
-        TargetCalls.ReportRequest call;
+        TargetCalls.ReportRequest request;
         TargetCalls.Endpoint target;
         synchronized (this) {
             OptionalLong leaseEnd = unresponsive ? OptionalLong.empty() : lease.nextLeaseEndMillis();
-            call = new TargetCalls.ReportRequest(fence, lastAcknowledgedEnd, leaseEnd, waitMillis);
+            request = new TargetCalls.ReportRequest(fence, lastAcknowledgedEnd, leaseEnd, waitMillis);
             target = endpoint;
         }
-        switch (calls.report(target, call, waitMillis + REPORT_TIMEOUT_MARGIN_MILLIS)) {
+        switch (calls.report(target, request, waitMillis + REPORT_TIMEOUT_MARGIN_MILLIS)) {
             case TargetCalls.Reported reported -> {
                 applyReport(reported, fence);
                 return true;
@@ -284,7 +288,7 @@
         } else if (!ended && isWithinResendLimit(unanswered.sentNanos())) {
             send(start, unanswered.sentNanos());
         } else if (!ended) {
-            events.notStarted(start, "no answer", AVOID_MILLIS);
+            events.notStarted(start, "no answer", EXCLUSION_MILLIS);
         }
     }
 
@@ -317,7 +321,7 @@
                 unansweredStarts.clear();
             }
         }
-        events.unresponsive(id, AVOID_MILLIS);
+        events.unresponsive(id, EXCLUSION_MILLIS);
         if (leaseExpired) {
             events.leaseExpired(id);
         }
@@ -329,25 +333,25 @@
     }
 
     private void send(TargetCommand.Start start, long firstNanos) {
-        TargetCalls.StartRequest call;
+        TargetCalls.StartRequest request;
         TargetCalls.Endpoint target;
         synchronized (this) {
             OptionalLong leaseEnd = lease.nextLeaseEndMillis();
             if (leaseEnd.isEmpty() || closed || !events.isLeading()) {
-                events.notStarted(start, "not verified", 0);
+                events.notStarted(start, "session not ready", 0);
                 return;
             }
-            call = new TargetCalls.StartRequest(
+            request = new TargetCalls.StartRequest(
                     start.task(), start.run(), start.payload(), start.checkpoint(), leaseEnd.getAsLong(), fence());
             target = endpoint;
         }
-        switch (calls.start(target, call, COMMAND_TIMEOUT_MILLIS)) {
+        switch (calls.start(target, request, COMMAND_TIMEOUT_MILLIS)) {
             case TargetCalls.Done done -> {
                 recordClock(done.clockMillis());
                 events.started(start);
             }
-            case TargetCalls.Refused refused -> handleStartRefusal(start, call, refused, firstNanos);
-            case TargetCalls.NoAnswer none -> recordUnanswered(start, call.fence(), firstNanos, none.reason());
+            case TargetCalls.Refused refused -> handleStartRefusal(start, request, refused, firstNanos);
+            case TargetCalls.NoAnswer none -> recordUnanswered(start, request.fence(), firstNanos, none.reason());
         }
     }
 
@@ -364,16 +368,16 @@
     }
 
     private void handleStartRefusal(
-            TargetCommand.Start start, TargetCalls.StartRequest call, TargetCalls.Refused refused, long firstNanos) {
+            TargetCommand.Start start, TargetCalls.StartRequest request, TargetCalls.Refused refused, long firstNanos) {
         refused.clockMillis().ifPresent(this::recordClock);
         switch (refused.reason()) {
             case FENCE -> {
-                if (call.fence() < fence() && isWithinResendLimit(firstNanos)) {
+                if (request.fence() < fence() && isWithinResendLimit(firstNanos)) {
                     send(start, firstNanos);
                     return;
                 }
                 events.notStarted(start, "fence", 0);
-                if (call.fence() == fence()) {
+                if (request.fence() == fence()) {
                     events.deposed(id);
                 }
             }
@@ -381,14 +385,14 @@
                 if (isWithinResendLimit(firstNanos)) {
                     send(start, firstNanos);
                 } else {
-                    events.notStarted(start, "late", AVOID_MILLIS);
+                    events.notStarted(start, "late", EXCLUSION_MILLIS);
                 }
             }
             case OLD_RUN -> events.notStarted(start, "old run", 0);
             case ROOM -> events.notStarted(start, "no room", PAUSE_MILLIS);
             case UNKNOWN_TASK -> events.notStarted(start, "unknown task", 0);
             case UNHEALTHY, OTHER_TARGET ->
-                events.notStarted(start, refused.reason().name(), AVOID_MILLIS);
+                events.notStarted(start, refused.reason().name(), EXCLUSION_MILLIS);
         }
     }
 
--- a/acacia-node/src/main/java/org/acaciaport/node/Term.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Term.java
@@ -91,7 +91,7 @@
                 dependencies.topics().targets(),
                 dependencies.log(),
                 pollSettings,
-                new RegistrationTracker(dependencies.codec(), this));
+                new RegistrationTracker(dependencies.targetDecoder(), this));
         ClockReading now = Clocks.now();
         earlierLeasesEndNanos = TargetLease.earlierLeasesEndNanos(now, MAX_UNCONFIRMED_MILLIS);
         orphanDetector = new OrphanDetector(earlierLeasesEndNanos);
@@ -106,7 +106,7 @@
      * @param calls sends commands to targets
      * @param topics topics in the shared log
      * @param log the shared log
-     * @param codec decodes target registrations
+     * @param targetDecoder decodes target registrations
      */
     record Dependencies(
             Replica replica,
@@ -114,7 +114,7 @@
             TargetCalls calls,
             Topics topics,
             FailoverLog log,
-            TargetCodec codec) {}
+            TargetRecordDecoder targetDecoder) {}
 
     /** Schedules until the term ends or the thread is interrupted. */
     void run() {
@@ -309,13 +309,13 @@
     }
 
     @Override
-    public void notStarted(TargetCommand.Start start, String reason, long avoidMillis) {
-        events.add(() -> pool.handleStartFailure(start, reason, avoidMillis, Clocks.now()));
+    public void notStarted(TargetCommand.Start start, String reason, long exclusionMillis) {
+        events.add(() -> pool.handleStartFailure(start, reason, exclusionMillis, Clocks.now()));
     }
 
     @Override
-    public void unresponsive(String target, long avoidMillis) {
-        events.add(() -> pool.exclude(target, avoidMillis, Clocks.now()));
+    public void unresponsive(String target, long exclusionMillis) {
+        events.add(() -> pool.exclude(target, exclusionMillis, Clocks.now()));
     }
 
     @Override
--- a/acacia-node/src/main/java/org/acaciaport/node/TopicConsumer.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TopicConsumer.java
@@ -69,7 +69,7 @@
         this.pollSettings = pollSettings;
         currentDelayMillis = pollSettings.delayMillis();
         this.sink = sink;
-        thread = Thread.ofVirtual().name("follow-" + topic).unstarted(this::run);
+        thread = Thread.ofVirtual().name("consume-" + topic).unstarted(this::run);
     }
 
     void start() {
@@ -131,14 +131,14 @@
                 topic, from, waitMillis, Clocks.deadlineAfter(waitMillis + READ_TIMEOUT_MARGIN_MILLIS))) {
             case ReadOutcome.Records records -> applyRecords(records, from, asOf);
             case ReadOutcome.Expired expired -> {
-                LOG.infof("follow: topic=%s from=%s first=%s outcome=restart", topic, from, expired.first());
+                LOG.infof("consume: topic=%s from=%s first=%s outcome=snapshot-needed", topic, from, expired.first());
                 synchronized (lock) {
                     nextOffset = -1;
                 }
                 yield loadSnapshot() && poll(0);
             }
             case ReadOutcome.Unavailable unavailable -> {
-                LOG.debugf("follow: topic=%s outcome=unavailable reason=%s", topic, unavailable.reason());
+                LOG.debugf("consume: topic=%s outcome=unavailable reason=%s", topic, unavailable.reason());
                 yield false;
             }
         };
--- a/acacia-node/src/test/java/org/acaciaport/node/LeaderElectionTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LeaderElectionTest.java
@@ -25,17 +25,17 @@
 
     private final MemoryLog log = new MemoryLog();
     private final Replica replica = new Replica();
-    private final FailoverLog routes = new FailoverLog(log, new Peers("self:1", List::of));
+    private final FailoverLog failoverLog = new FailoverLog(log, new Peers("self:1", List::of));
     private final TopicConsumer jobConsumer =
-            new TopicConsumer(TOPICS.jobs(), routes, new TopicConsumer.PollSettings(0, 1), replica);
+            new TopicConsumer(TOPICS.jobs(), failoverLog, new TopicConsumer.PollSettings(0, 1), replica);
 
     private LeaderElection newElection() {
-        ConfigurationView configuration = new ConfigurationView(record ->
-                new OperatorCodec.Published(new OperatorConfiguration(1, List.of(), Map.of(), Map.of(), Set.of("s"))));
+        ConfigurationView configuration = new ConfigurationView(record -> new OperatorRecordDecoder.Published(
+                new OperatorConfiguration(1, List.of(), Map.of(), Map.of(), Set.of("s"))));
         configuration.apply(KeyedRecord.tombstone("config"), 0);
         configuration.caughtUp(Clocks.now(), 1);
         Term.Dependencies dependencies =
-                new Term.Dependencies(replica, configuration, null, TOPICS, routes, new NoTargets());
+                new Term.Dependencies(replica, configuration, null, TOPICS, failoverLog, new NoTargets());
         return new LeaderElection(SELF, dependencies, jobConsumer, new SplittableRandom(1));
     }
 
@@ -92,7 +92,7 @@
     }
 
     /** Ignores all records, since the in-memory log has the records of all topics in one. */
-    private static final class NoTargets implements TargetCodec {
+    private static final class NoTargets implements TargetRecordDecoder {
         @Override
         public Optional<String> targetId(KeyedRecord record) {
             return Optional.empty();
--- a/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
@@ -25,7 +25,7 @@
 import org.acaciaport.wire.WireServer;
 import org.junit.jupiter.api.Test;
 
-/** Tests routes to the log, the replica of the jobs, and answers to callers, against an in-memory log. */
+/** Tests failover to relaying peers, the replica of the jobs, and answers to callers, against an in-memory log. */
 final class LogAccessTest {
     private static final String TOPIC = "jobs";
     private static final Topics TOPICS = new Topics(TOPIC, "operators", "targets");
@@ -37,20 +37,20 @@
 
     private final MemoryLog log = new MemoryLog();
     private final Replica replica = new Replica();
-    private final FailoverLog routes = new FailoverLog(log, new Peers("self:1", List::of));
+    private final FailoverLog failoverLog = new FailoverLog(log, new Peers("self:1", List::of));
     private final TopicConsumer jobConsumer =
-            new TopicConsumer(TOPIC, routes, new TopicConsumer.PollSettings(0, 0), replica);
+            new TopicConsumer(TOPIC, failoverLog, new TopicConsumer.PollSettings(0, 0), replica);
 
     private static long shortDeadline() {
         return Clocks.deadlineAfter(300);
     }
 
     private JobService newJobService(KeyedRecord published) {
-        ConfigurationView configuration = new ConfigurationView(record -> new OperatorCodec.Published(
+        ConfigurationView configuration = new ConfigurationView(record -> new OperatorRecordDecoder.Published(
                 new OperatorConfiguration(1, List.of(QUEUE), Map.of("key", "account"), Map.of(), Set.of("s"))));
         configuration.apply(published, 0);
         configuration.caughtUp(Clocks.now(), 1);
-        Term.Dependencies dependencies = new Term.Dependencies(replica, configuration, null, TOPICS, routes, null);
+        Term.Dependencies dependencies = new Term.Dependencies(replica, configuration, null, TOPICS, failoverLog, null);
         return new JobService(dependencies, jobConsumer, 4_000, new MetricRegistry());
     }
 
@@ -65,8 +65,8 @@
     @Test
     void callsAreRelayedThroughAPeerWhileTheLogRefusesThisNode() throws Exception {
         MemoryLog shared = new MemoryLog();
-        FailoverLog peerRoutes = new FailoverLog(shared, new Peers("peer", List::of));
-        try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
+        FailoverLog peerLog = new FailoverLog(shared, new Peers("peer", List::of));
+        try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerLog)) {
             log.failure = MemoryLog.Failure.REFUSE;
             List<String> peers = List.of("127.0.0.1:" + peer.port());
             FailoverLog refusedLog = new FailoverLog(log, new Peers("self:1", () -> peers));
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Guards against always relaying through the same three peers. When the store refuses most nodes, those three may
+     * Guards against always relaying through the same three peers. When the log refuses most nodes, those three may
      * be refused too, while another peer could relay.
      */
     @Test
@@ -96,10 +96,10 @@
             List<String> peers = Stream.of(one, two, three, four)
                     .map(peer -> "127.0.0.1:" + peer.port())
                     .toList();
-            FailoverLog failoverLog = new FailoverLog(log, new Peers("self:1", () -> peers));
+            FailoverLog refusedLog = new FailoverLog(log, new Peers("self:1", () -> peers));
             Append append = new Append(TOPIC, List.of(KeyedRecord.tombstone("k")), new Append.Always());
-            failoverLog.append(append, Clocks.deadlineAfter(5_000));
-            assertThat(failoverLog.append(append, Clocks.deadlineAfter(5_000)))
+            refusedLog.append(append, Clocks.deadlineAfter(5_000));
+            assertThat(refusedLog.append(append, Clocks.deadlineAfter(5_000)))
                     .isInstanceOf(AppendOutcome.Appended.class);
         }
     }
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Guards against refusing requests while a failing direct route is probed. When the store refuses a node for a long
+     * Guards against refusing requests while a failing direct route is probed. When the log refuses a node for a long
      * time, each failed probe must not count as an unreachable log, since calls still succeed through peers.
      */
     @Test
@@ -133,8 +133,8 @@
         AtomicReference<FailoverLog> refusedLog = new AtomicReference<>();
         KeyedLog shared =
                 new ObservedLog(new MemoryLog(), () -> seen.add(refusedLog.get().isReachable()));
-        FailoverLog peerRoutes = new FailoverLog(shared, new Peers("peer", List::of));
-        try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
+        FailoverLog peerLog = new FailoverLog(shared, new Peers("peer", List::of));
+        try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerLog)) {
             List<String> peers = List.of("127.0.0.1:" + peer.port());
             refusedLog.set(new FailoverLog(log, new Peers("self:1", () -> peers)));
             log.failure = MemoryLog.Failure.REFUSE;
@@ -149,7 +149,7 @@
     }
 
     /**
-     * Guards against holding requests until their deadline during an outage of the store, and then answering that their
+     * Guards against holding requests until their deadline during an outage of the log, and then answering that their
      * outcome is unknown although nothing was written.
      */
     @Test
@@ -179,17 +179,17 @@
     /** During an outage of the log, reachable peers show that this node is not isolated, so callers must pause. */
     @Test
     void aNodeWithReachablePeersIsNotIsolatedDuringAnOutageOfTheLog() throws Exception {
-        FailoverLog peerRoutes = new FailoverLog(log, new Peers("peer", List::of));
-        try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerRoutes)) {
+        FailoverLog peerLog = new FailoverLog(log, new Peers("peer", List::of));
+        try (WireServer peer = WireServer.start(new InetSocketAddress("127.0.0.1", 0), peerLog)) {
             List<String> peers = List.of("127.0.0.1:" + peer.port());
-            FailoverLog failoverLog = new FailoverLog(log, new Peers("self:1", () -> peers));
+            FailoverLog refusedLog = new FailoverLog(log, new Peers("self:1", () -> peers));
             log.failure = MemoryLog.Failure.REFUSE;
             for (int i = 0; i < 15; i++) {
-                failoverLog.read(TOPIC, 0, 0, Clocks.deadlineAfter(2_000));
+                refusedLog.read(TOPIC, 0, 0, Clocks.deadlineAfter(2_000));
                 Clocks.sleep(100);
             }
-            assertThat(failoverLog.isReachable()).isFalse();
-            assertThat(failoverLog.isIsolated()).isFalse();
+            assertThat(refusedLog.isReachable()).isFalse();
+            assertThat(refusedLog.isIsolated()).isFalse();
         }
     }
 
@@ -201,8 +201,8 @@
     }
 
     /**
-     * Guards against holding a request of unknown outcome until its deadline. This happens when a zone is partitioned
-     * during an append; the caller needs the remaining time to try a node that reaches the log.
+     * Guards against holding a request of unknown outcome until its deadline. This happens when a data centre is
+     * partitioned during an append; the caller needs the remaining time to try a node that reaches the log.
      */
     @Test
     void aRequestOfUnknownOutcomeIsAnsweredEarlyWhileTheLogIsUnreachable() {
@@ -214,7 +214,10 @@
         assertThat(log.calls).isEqualTo(1);
     }
 
-    /** Guards against answering a request with no time left as undetermined, although nothing was sent. */
+    /**
+     * Guards against answering a request with no time left as undetermined, although nothing was sent. This happens to
+     * retries that arrive a few milliseconds before their deadline.
+     */
     @Test
     void aRequestWithNoTimeLeftIsRefusedAndNotSent() {
         JobService jobService = newJobService(KeyedRecord.tombstone("config"));
@@ -267,7 +270,7 @@
     }
 
     /**
-     * Guards against refusing calls for a second after an outage of the store. This happens if the first read waits for
+     * Guards against refusing calls for a second after an outage of the log. This happens if the first read waits for
      * new records before it shows that the configuration is current.
      */
     @Test
@@ -303,10 +306,10 @@
 
     @Test
     void aLeaderAppendWithALostAnswerIsAppliedOnce() throws Exception {
-        LeaderLogWriter term = new LeaderLogWriter(log, TOPIC, 5);
-        assertThat(term.fenceEarlierTerms()).isTrue();
+        LeaderLogWriter writer = new LeaderLogWriter(log, TOPIC, 5);
+        assertThat(writer.fenceEarlierTerms()).isTrue();
         log.failure = MemoryLog.Failure.LOSE_ANSWER;
-        Thread append = Thread.ofVirtual().start(() -> term.append(List.of(KeyedRecord.tombstone("a"))));
+        Thread append = Thread.ofVirtual().start(() -> writer.append(List.of(KeyedRecord.tombstone("a"))));
         while (log.calls < 3) {
             Thread.onSpinWait();
         }
@@ -318,9 +321,9 @@
 
     @Test
     void callsAreAuthorizedOnlyWhileTheConfigurationIsCurrent() {
-        ConfigurationView configuration = new ConfigurationView(record -> new OperatorCodec.Published(
+        ConfigurationView configuration = new ConfigurationView(record -> new OperatorRecordDecoder.Published(
                 new OperatorConfiguration(1, List.of(QUEUE), Map.of("key", "account"), Map.of(), Set.of("s"))));
-        Term.Dependencies dependencies = new Term.Dependencies(replica, configuration, null, TOPICS, routes, null);
+        Term.Dependencies dependencies = new Term.Dependencies(replica, configuration, null, TOPICS, failoverLog, null);
         JobService jobService = new JobService(dependencies, jobConsumer, 1, new MetricRegistry());
         assertThat(jobService.authorize("host", "/p/a", "key"))
                 .isInstanceOf(JobService.Access.StaleConfiguration.class);
--- a/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/TargetSessionTest.java
@@ -27,7 +27,7 @@
         return new TargetSession(new TargetCalls.Endpoint("t", "host:1"), target, events, 1_000, earlierLeasesEndNanos);
     }
 
-    private TargetSession newVerifiedSession() throws InterruptedException {
+    private TargetSession newReportedSession() throws InterruptedException {
         TargetSession session = newSession(System.nanoTime() + TimeUnit.HOURS.toNanos(1));
         session.setOccupied(true);
         assertThat(events.reported.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
@@ -40,7 +40,7 @@
      */
     @Test
     void theLeaseOfAnUnresponsiveTargetExpires() throws Exception {
-        TargetSession session = newVerifiedSession();
+        TargetSession session = newReportedSession();
         target.unresponsive.set(true);
         assertThat(events.leaseExpired.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         session.close();
@@ -59,7 +59,7 @@
 
     @Test
     void anUnansweredStartIsResentOnlyWithAHigherFence() throws Exception {
-        TargetSession session = newVerifiedSession();
+        TargetSession session = newReportedSession();
         target.loseNextStart.set(true);
         session.start(start);
         assertThat(events.started.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(start);
@@ -72,7 +72,7 @@
 
     @Test
     void aHigherFenceAtTheTargetDeposesTheLeader() throws Exception {
-        TargetSession session = newVerifiedSession();
+        TargetSession session = newReportedSession();
         target.fence = Long.MAX_VALUE;
         assertThat(events.deposed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         session.close();
@@ -91,8 +91,8 @@
         }
 
         @Override
-        public CommandReply start(Endpoint address, StartRequest call, long timeoutMillis) {
-            starts.add(call);
+        public CommandReply start(Endpoint address, StartRequest request, long timeoutMillis) {
+            starts.add(request);
             if (loseNextStart.getAndSet(false)) {
                 return new NoAnswer("lost");
             }
@@ -105,15 +105,15 @@
         }
 
         @Override
-        public ReportReply report(Endpoint address, ReportRequest call, long timeoutMillis) {
+        public ReportReply report(Endpoint address, ReportRequest request, long timeoutMillis) {
             Clocks.sleep(5);
             if (unresponsive.get()) {
                 return new NoAnswer("silent");
             }
-            if (call.fence() < fence) {
+            if (request.fence() < fence) {
                 return new Refused(RefusalReason.FENCE, OptionalLong.of(clock()));
             }
-            fence = call.fence();
+            fence = request.fence();
             lastReportFence = fence;
             return new Reported(clock(), new TargetReport(address.id(), 1, System.nanoTime(), List.of(), List.of()));
         }
@@ -137,13 +137,13 @@
         }
 
         @Override
-        public void notStarted(TargetCommand.Start start, String reason, long avoidMillis) {
+        public void notStarted(TargetCommand.Start start, String reason, long exclusionMillis) {
             throw new AssertionError(reason);
         }
 
         @Override
-        public void unresponsive(String target, long avoidMillis) {
-            assertThat(avoidMillis).isGreaterThan(0);
+        public void unresponsive(String target, long exclusionMillis) {
+            assertThat(exclusionMillis).isGreaterThan(0);
         }
 
         @Override
