--- a/acacia-wire/src/main/java/org/acaciaport/wire/Frames.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/Frames.java
@@ -11,7 +11,7 @@
  * <p>Stateless. A stream must be used by at most one reader and one writer at a time.
  */
 final class Frames {
-    /** Maximum length of a body, in bytes; exceeds the largest request body and answer that callers may send or get. */
+    /** Maximum length of a body, in bytes; larger than any request or response body of the callers' interface. */
     static final int MAX_BYTES = 8 << 20;
 
     private Frames() {}
