--- a/acacia-core/src/main/java/org/acaciaport/decision/Admission.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Admission.java
@@ -91,7 +91,7 @@
     }
 
     /** Answers queued requests that the configuration in force can never run. */
-    void rejectInfeasible() {
+    void refuseInfeasible() {
         for (Job job : draft.jobs().values()) {
             if (job.phase() instanceof Phase.Queued && !canEverRun(job)) {
                 refuse(job, infeasibleReason(job.profile()));
--- a/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Draft.java
@@ -269,7 +269,10 @@
         queues = queues.minus(job);
     }
 
-    /** Ends {@code job} with its final answer. Its units must have been vacated and its claims removed before. */
+    /**
+     * Ends {@code job} and answers it with {@code outcome}. Its units must have been vacated and its claims removed
+     * before.
+     */
     void finish(Job job, Outcome outcome) {
         remove(job);
         addCommand(new Command.Answer(job.request(), outcome));
--- a/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
@@ -63,12 +63,12 @@
         for (Member member : claiming.attempt().members()) {
             TargetState target = draft.fleet().target(member.target());
             int units = job.profile().unitsOn(target.target());
-            int idle = target.free() + member.units();
+            int available = target.free() + member.units();
             boolean fits = job.profile().revocable() || draft.rules().preservesGuarantees(target, job.account(), units);
             boolean allowed = draft.rules().acceptsWork(target)
                     && !job.avoidedTargets().contains(target.id())
                     && target.health().accountsByFailedRequest().isEmpty();
-            if (fits && allowed && idle >= units) {
+            if (fits && allowed && available >= units) {
                 return List.of(new Member(0, target.id(), units));
             }
         }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Fleet.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Fleet.java
@@ -21,7 +21,7 @@
  * @param free the targets that accept work, by free units
  * @param unowned the targets that accept work, by units that are free and may be taken by irrevocable work of any
  *     account
- * @param shares the slices of targets that are assigned to each account as its guarantee
+ * @param sliceAssignment the slices of targets that each account owns under its guarantee
  * @param listedAsLeaving identifiers on the platform's newest list of leaving VMs, including those not in the fleet
  */
 public record Fleet(
@@ -29,7 +29,7 @@
         Map<String, List<String>> racks,
         CapacityIndex free,
         CapacityIndex unowned,
-        SliceAssignment shares,
+        SliceAssignment sliceAssignment,
         Set<String> listedAsLeaving) {
     /** A fleet without targets. */
     static final Fleet EMPTY = new Fleet(
@@ -55,7 +55,7 @@
         TargetState previous = targets.get(next.id());
         CapacityIndex freeNext = replace(free, previous, next, Fleet::freeUnits);
         CapacityIndex unownedNext = replace(unowned, previous, next, Fleet::unownedUnits);
-        return new Fleet(targets.plus(next.id(), next), racks, freeNext, unownedNext, shares, listedAsLeaving);
+        return new Fleet(targets.plus(next.id(), next), racks, freeNext, unownedNext, sliceAssignment, listedAsLeaving);
     }
 
     /** Returns this fleet without the target with identifier {@code id}, which must be in it. */
@@ -63,7 +63,7 @@
         TargetState previous = targets.get(id);
         CapacityIndex freeNext = remove(free, previous, freeUnits(previous));
         CapacityIndex unownedNext = remove(unowned, previous, unownedUnits(previous));
-        return new Fleet(targets.minus(id), racks, freeNext, unownedNext, shares, listedAsLeaving);
+        return new Fleet(targets.minus(id), racks, freeNext, unownedNext, sliceAssignment, listedAsLeaving);
     }
 
     /** Returns this fleet with slices assigned as in {@code next}. */
@@ -84,12 +84,12 @@
             next.computeIfAbsent(target.target().rack(), r -> new ArrayList<>()).add(target.id());
         }
         next.replaceAll((rack, ids) -> ids.stream().sorted().toList());
-        return new Fleet(targets, next, free, unowned, shares, listedAsLeaving);
+        return new Fleet(targets, next, free, unowned, sliceAssignment, listedAsLeaving);
     }
 
     /** Returns this fleet with another list of leaving VMs. Does not mark any target as leaving. */
     Fleet withListedAsLeaving(Set<String> next) {
-        return new Fleet(targets, racks, free, unowned, shares, ImmutableSet.copyOf(next));
+        return new Fleet(targets, racks, free, unowned, sliceAssignment, ImmutableSet.copyOf(next));
     }
 
     /** Returns this fleet with {@code change} applied to the target with identifier {@code id}. */
--- a/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Invariants.java
@@ -265,7 +265,7 @@
                     Invariant.GANG_WHOLE,
                     ledger.reservationsOf(attempt.number()) == attempt.members().size(),
                     () -> id + " started with " + ledger.reservationsOf(attempt.number()) + " of "
-                            + attempt.members().size() + " places held");
+                            + attempt.members().size() + " places reserved");
         }
         if (!profile.idempotent()) {
             require(
--- a/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
@@ -37,7 +37,7 @@
         draft.setActive(next);
         if (!next.configuration().equals(previous.configuration())) {
             replaceTargets(next.configuration().targetsOf(here));
-            new Admission(draft).rejectInfeasible();
+            new Admission(draft).refuseInfeasible();
         }
         draft.note(PART, "revision=" + next.revision() + " in force, in service=" + next.inService(here));
         if (wasInService && !next.inService(here)) {
@@ -124,7 +124,7 @@
         }
         draft.changeTarget(id, t -> t.withReachable(true));
         draft.note(PART, "target=" + id + " reachable");
-        reassignOwedSlices();
+        retryUnassignedSlices();
     }
 
     /**
@@ -173,9 +173,9 @@
         }
     }
 
-    /** Assigns the guaranteed slices that no target could hold so far, now that another target is in use. */
-    void reassignOwedSlices() {
-        if (draft.fleet().shares().unassignedSlices() > 0) {
+    /** Tries again to assign the guaranteed slices that are unassigned, now that another target is in use. */
+    void retryUnassignedSlices() {
+        if (draft.fleet().sliceAssignment().unassignedSlices() > 0) {
             reassignGuarantees();
         }
         draft.requestDispatch();
@@ -186,19 +186,19 @@
      * claims checked against the result.
      */
     void reassignGuarantees() {
-        List<SliceAssignment.TargetCapacity> places = new ArrayList<>();
+        List<SliceAssignment.TargetCapacity> capacities = new ArrayList<>();
         for (TargetState target : new TreeMap<>(draft.fleet().targets()).values()) {
             if (target.isTrusted()) {
-                places.add(new SliceAssignment.TargetCapacity(
+                capacities.add(new SliceAssignment.TargetCapacity(
                         target.id(),
                         target.target().rack(),
                         target.capacity(),
                         target.load().irrevocableByAccount()));
             }
         }
-        SliceAssignment previous = draft.fleet().shares();
+        SliceAssignment previous = draft.fleet().sliceAssignment();
         SliceAssignment next = SliceAssignment.assign(
-                draft.active().configuration(), draft.state().dataCentre(), places, previous);
+                draft.active().configuration(), draft.state().dataCentre(), capacities, previous);
         draft.setFleet(draft.fleet().with(next));
         draft.recheckClaims();
         if (next.unassignedSlices() != previous.unassignedSlices()) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Placement.java
@@ -50,7 +50,7 @@
     Optional<List<Member>> findClaimable() {
         int needed = profile.shape().targets();
         List<TargetState> own = new ArrayList<>();
-        for (Slice slice : draft.fleet().shares().slicesOf(job.account())) {
+        for (Slice slice : draft.fleet().sliceAssignment().slicesOf(job.account())) {
             TargetState target = draft.fleet().target(slice.target());
             if (target != null && isClaimable(target)) {
                 own.add(target);
@@ -114,7 +114,7 @@
 
     private Optional<List<TargetState>> findSingle() {
         TargetState best = null;
-        for (Slice slice : draft.fleet().shares().slicesOf(job.account())) {
+        for (Slice slice : draft.fleet().sliceAssignment().slicesOf(job.account())) {
             TargetState target = draft.fleet().target(slice.target());
             boolean own = target != null && target.unusedOwnedBy(job.account()) >= units(target);
             if (own && fitsNow(target) && (best == null || target.free() < best.free())) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Probation.java
@@ -33,7 +33,7 @@
         draft.changeTarget(id, t -> t.with(Health.HEALTHY));
         if (probed) {
             draft.note(PART, "target=" + id + " trusted again why=a task succeeded");
-            new Membership(draft).reassignOwedSlices();
+            new Membership(draft).retryUnassignedSlices();
         }
     }
 
@@ -62,7 +62,7 @@
     /**
      * Withdraws the failures of {@code job} from its targets if it failed on more than one of them.
      */
-    void clearSuspicion(Job job) {
+    void withdrawFailures(Job job) {
         if (job.avoidedTargets().size() < 2) {
             return;
         }
@@ -85,16 +85,16 @@
         draft.requestDispatch();
     }
 
-    private void startProbation(TargetState target, int probes) {
+    private void startProbation(TargetState target, int probations) {
         long delay = Math.min(
                 draft.policy().maxProbeDelayMillis(),
-                draft.policy().initialProbeDelayMillis() << Math.min(probes - 1, MAX_DOUBLINGS));
+                draft.policy().initialProbeDelayMillis() << Math.min(probations - 1, MAX_DOUBLINGS));
         long at = draft.now() + delay;
-        draft.changeTarget(target.id(), t -> t.with(t.health().withProbation(probes, at)));
+        draft.changeTarget(target.id(), t -> t.with(t.health().withProbation(probations, at)));
         draft.addTimer(at, Timer.Kind.PROBE, target.id(), 0);
         draft.note(
                 PART,
-                "target=" + target.id() + " on probation probes=" + probes + " until=" + at
+                "target=" + target.id() + " on probation probes=" + probations + " until=" + at
                         + " why=different requests failed there without a success");
         new Membership(draft).reassignGuarantees();
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/RetryBudget.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RetryBudget.java
@@ -3,8 +3,9 @@
 /**
  * The retry budget of one profile: bounds the share of its attempts that are retries.
  *
- * <p>Immutable. Each started attempt earns a fraction of a retry, and each retry spends a whole one. The balance never
- * exceeds {@value #MAX_PERCENT} percent of an attempt, so a burst of failures leads to a bounded number of retries.
+ * <p>Immutable. Each started attempt deposits a fraction of a retry, and each retry withdraws a whole one. The balance
+ * never exceeds {@value #MAX_PERCENT} percent of an attempt, so a burst of failures leads to a bounded number of
+ * retries.
  *
  * @param balancePercent balance in hundredths of an attempt
  */
@@ -15,9 +16,9 @@
     /** The budget of a profile that has not been used yet. */
     static final RetryBudget FULL = new RetryBudget(MAX_PERCENT);
 
-    /** Returns this budget with {@code earnedPercent} hundredths of a retry added. */
-    RetryBudget earn(int earnedPercent) {
-        return new RetryBudget(Math.min(MAX_PERCENT, balancePercent + earnedPercent));
+    /** Returns this budget with {@code percent} hundredths of a retry added. */
+    RetryBudget deposit(int percent) {
+        return new RetryBudget(Math.min(MAX_PERCENT, balancePercent + percent));
     }
 
     /** Returns whether the balance pays for one retry. */
@@ -26,7 +27,7 @@
     }
 
     /** Returns this budget less one retry. */
-    RetryBudget spend() {
+    RetryBudget withdraw() {
         return new RetryBudget(balancePercent - ATTEMPT_PERCENT);
     }
 }
--- a/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Revoker.java
@@ -33,6 +33,7 @@
         }
     }
 
+    /** Revokes {@code victim} if it runs; withdraws its attempt if no start was sent yet. */
     private void preempt(Job victim, String reason) {
         if (victim.phase() instanceof Phase.Running) {
             revoke(victim, Revocation.Cause.RECLAIM, reason);
--- a/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
@@ -171,7 +171,7 @@
         boolean mayRetry = draft.rules().mayRunAgain(job)
                 && job.failures() < draft.policy().maxFailedAttempts();
         if (!mayRetry) {
-            new Probation(draft).clearSuspicion(job);
+            new Probation(draft).withdrawFailures(job);
             draft.finish(job, new Outcome.Failed(reason));
             return;
         }
@@ -182,7 +182,7 @@
                             + " at present, submit it again later"));
             return;
         }
-        draft.setRetryBudget(profile, draft.retryBudget(profile).spend());
+        draft.setRetryBudget(profile, draft.retryBudget(profile).withdraw());
         long delay = draft.policy().retryDelayMillis(job.failures());
         draft.note(PART, job, "failed, to be retried after ms=" + delay + " why=" + reason);
         draft.defer(job, draft.now() + delay);
@@ -216,7 +216,7 @@
         draft.note(PART, job, "paused on target=" + only.target());
     }
 
-    /** Returns the purpose that stands for the member states of an attempt that ended without a revocation. */
+    /** Returns the cause that the member states imply, for an attempt that ended without a revocation. */
     private static Revocation.Cause inferCause(Phase.Running running) {
         if (anyIs(running, MemberState.Status.FAILED)) {
             return Revocation.Cause.MEMBER_FAILED;
--- a/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
@@ -177,7 +177,7 @@
         draft.setGate(draft.gate().withStart(draft.now()));
         draft.setRetryBudget(
                 job.profile().name(),
-                draft.retryBudget(job.profile().name()).earn(draft.policy().retryPercent()));
+                draft.retryBudget(job.profile().name()).deposit(draft.policy().retryPercent()));
         track(job, timed);
     }
 
--- a/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Selection of the work that is preempted on a target for a claim.
+ * Selection of the work that is preempted on a target for a claim. The <i>claimant</i> is the job that holds the claim.
  *
  * <p>The methods read the draft and never change it.
  */
@@ -49,8 +49,8 @@
      */
     static List<Job> select(Draft draft, TargetState target, Job claimant, boolean drain) {
         // Drains yield to claims of guaranteed accelerators, so these preempt nothing on behalf of a drain.
-        int drained = drain ? 0 : target.load().setAside();
-        int missing = -target.free() - drained - target.load().revoking();
+        int setAside = drain ? 0 : target.load().setAside();
+        int missing = -target.free() - setAside - target.load().revoking();
         if (missing <= 0) {
             return List.of();
         }
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Returns whether a drain for {@code claimant} spares {@code job}, which is at least as large. Otherwise two large
-     * jobs could preempt each other in turn.
+     * Returns whether a drain for {@code claimant} leaves {@code job} running because it is at least as large. If the
+     * drain did not, two large jobs could preempt each other in turn.
      */
     static boolean isSpared(Job job, Job claimant) {
         return job.profile().shape().accelerators()
--- a/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
@@ -8,16 +8,26 @@
  * <p>Terms used throughout:
  *
  * <ul>
- *   <li>A <i>unit</i> is one accelerator.
+ *   <li>A <i>cell</i> is one data centre with the scheduler that leads it.
+ *   <li>A <i>unit</i> is one accelerator. Units are <i>idle</i> if no work occupies them, and <i>free</i> if they are
+ *       not claimed either.
  *   <li>An <i>attempt</i> to run a request has one or more <i>members</i>, each on a target of its own; work with
  *       several members is a <i>gang</i>. A member's <i>place</i> is its target and its units there.
  *   <li>An account <i>owns</i> units that its guarantee assigns to it on some targets, and <i>borrows</i> whatever it
  *       occupies beyond that.
  *   <li><i>Revocable</i> work can be made to free its units within a bounded time: by a checkpoint, a throttle or a
- *       stop. All other work is <i>irrevocable</i> and runs to its end or its run limit.
+ *       stop, which are its <i>treatments</i>. All other work is <i>irrevocable</i> and runs to its end or its run
+ *       limit.
+ *   <li>To <i>revoke</i> running work is to apply treatments to it, for whichever reason. To <i>preempt</i> work is to
+ *       make it free its units for a claim: running work is revoked, and an attempt of which no start was sent is
+ *       withdrawn. An account <i>reclaims</i> its units by preempting the work that borrows them.
  *   <li>A <i>claim</i> reserves places that are still occupied for a job that waits until they are free. A claim on
- *       units that the account owns revokes the work that borrows them. Places claimed for a <i>large job</i> that has
- *       waited long are <i>set aside</i>, and other work may be backfilled onto them meanwhile.
+ *       units that the account owns preempts the work that borrows them.
+ *   <li>A <i>large job</i> is a gang, or needs more units than are free on any one target. A <i>drain</i> claims places
+ *       for the large job that has waited longest and sets them <i>aside</i>: work on them is preempted or runs to its
+ *       end, and other work is placed on them only as <i>backfill</i>, which is expected to end by the deadline of the
+ *       drain.
+ *   <li>A request is <i>answered</i> once, with its final {@link org.acaciaport.request.Outcome}.
  *   <li>A <i>permit</i> is a lease on the permission to start work: evidence, valid for a short time, that the data
  *       centre is in service.
  *   <li>A target is on <i>probation</i> after several requests failed there without a success in between. It takes no
