--- a/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
@@ -11,8 +11,10 @@
  *   <li>A <i>cell</i> is one data centre with the scheduler that leads it.
  *   <li>A <i>unit</i> is one accelerator. Units are <i>idle</i> if no work occupies them, and <i>free</i> if they are
  *       not claimed either.
+ *   <li>A <i>job</i> is an unfinished request together with its progress.
  *   <li>An <i>attempt</i> to run a request has one or more <i>members</i>, each on a target of its own; work with
- *       several members is a <i>gang</i>. A member's <i>place</i> is its target and its units there.
+ *       several members is a <i>gang</i>. A member's <i>place</i> is its target and its units there; the target
+ *       runs the member as a <i>task</i>.
  *   <li>An account <i>owns</i> units that its guarantee assigns to it on some targets, and <i>borrows</i> whatever it
  *       occupies beyond that.
  *   <li><i>Revocable</i> work can be made to free its units within a bounded time: by a checkpoint, a throttle or a
--- a/acacia-ctl/src/main/java/org/acaciaport/ctl/GatewayClient.java
+++ b/acacia-ctl/src/main/java/org/acaciaport/ctl/GatewayClient.java
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Calls the gateways at {@code baseUris} in turn until one gives an answer other than 503.
+     * Calls the gateways at {@code baseUris} in turn until one responds with a status other than 503.
      *
      * @throws CtlException with {@code NEGATIVE} if a gateway refuses, or {@code UNAVAILABLE} if all are unavailable
      */
@@ -61,15 +61,15 @@
         for (String baseUri : baseUris) {
             try {
                 long timeoutMillis = CALL_TIMEOUT_MILLIS + waitMillis;
-                JsonClient.Response answer = body == null && method.equals("GET")
+                JsonClient.Response response = body == null && method.equals("GET")
                         ? client.get(baseUri + path, timeoutMillis)
                         : client.send(method, baseUri + path, body == null ? List.of() : body, timeoutMillis);
-                if (answer.status() < FIRST_ERROR_STATUS) {
-                    return answer.read(JsonNode.class);
+                if (response.status() < FIRST_ERROR_STATUS) {
+                    return response.read(JsonNode.class);
                 }
-                HttpProblem.Body problem = answer.read(HttpProblem.Body.class);
+                HttpProblem.Body problem = response.read(HttpProblem.Body.class);
                 lastError = problem.reason() + "; " + problem.remedy();
-                if (answer.status() != UNAVAILABLE) {
+                if (response.status() != UNAVAILABLE) {
                     throw new CtlException(ExitCode.NEGATIVE, problem.error() + ": " + lastError);
                 }
             } catch (PlatformException e) {
--- a/acacia-gateway/src/test/java/org/acaciaport/gateway/GatewayTest.java
+++ b/acacia-gateway/src/test/java/org/acaciaport/gateway/GatewayTest.java
@@ -215,9 +215,9 @@
             Thread.sleep(5);
         }
         gateway.drain();
-        JsonClient.Response answer = waitingCall.get();
-        assertThat(answer.status()).isEqualTo(202);
-        assertThat(bodyText(answer)).contains("running");
+        JsonClient.Response response = waitingCall.get();
+        assertThat(response.status()).isEqualTo(202);
+        assertThat(bodyText(response)).contains("running");
     }
 
     private JsonClient.Response post(String body, String query) throws Exception {
@@ -230,17 +230,17 @@
         return new JsonClient.Response(response.statusCode(), response.body());
     }
 
-    private static void assertProblem(JsonClient.Response answer, int status, String error, String reason)
+    private static void assertProblem(JsonClient.Response response, int status, String error, String reason)
             throws Exception {
-        HttpProblem.Body body = Codecs.json().readValue(answer.body(), HttpProblem.Body.class);
-        assertThat(answer.status()).isEqualTo(status);
+        HttpProblem.Body body = Codecs.json().readValue(response.body(), HttpProblem.Body.class);
+        assertThat(response.status()).isEqualTo(status);
         assertThat(body.error()).isEqualTo(error);
         assertThat(body.reason()).contains(reason);
         assertThat(body.remedy()).isNotEmpty();
     }
 
-    private static String bodyText(JsonClient.Response answer) {
-        return new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8);
+    private static String bodyText(JsonClient.Response response) {
+        return new String(response.body(), java.nio.charset.StandardCharsets.UTF_8);
     }
 
     private static int freePort() throws Exception {
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/DecisionBenchmark.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/DecisionBenchmark.java
@@ -40,7 +40,7 @@
     private static final int ACCOUNT_COUNT = 4;
     private static final long QUEUE_AND_RUN_LIMIT_MILLIS = 86_400_000;
 
-    /** Longer than the rate of starts is limited after a data centre comes into service. */
+    /** Longer than the ramp-up that limits the rate of starts after a data centre comes into service. */
     private static final long AFTER_RAMP_UP_MILLIS = 60_000;
 
     @Param({"30", "1600", "16000"})
--- a/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
+++ b/acacia-proofs/src/test/java/org/acaciaport/decision/MissingRuleTest.java
@@ -173,10 +173,10 @@
                     .forEach(v -> violatedInvariants.add(v.invariant().name()));
             if (violatedInvariants.contains(invariant.name())) {
                 System.out.println(
-                        invariant + " noticed with seed " + seed + " after " + simulation.steps() + " steps");
+                        invariant + " detected with seed " + seed + " after " + simulation.steps() + " steps");
                 return;
             }
         }
-        assertWithMessage("invariants noticed").that(violatedInvariants).contains(invariant.name());
+        assertWithMessage("violated invariants").that(violatedInvariants).contains(invariant.name());
     }
 }
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/LeaderTerm.java
@@ -101,17 +101,18 @@
     /** Queues the configuration and the unfinished requests of {@code directory} and starts the deciding thread. */
     void start(Directory directory) {
         onEvent(new Event.Configured(directory.active()));
-        for (RequestState entry : directory.requests()) {
-            if (entry.outcome() == null && entry.home().equals(settings.vm().dataCentre())) {
-                onEvent(new Event.Recovered(entry.request(), recoveredAttempt(entry), entry.checkpointed()));
+        for (RequestState recorded : directory.requests()) {
+            if (recorded.outcome() == null
+                    && recorded.home().equals(settings.vm().dataCentre())) {
+                onEvent(new Event.Recovered(recorded.request(), recoveredAttempt(recorded), recorded.checkpointed()));
             }
         }
         LOG.infof("lead: leading data-centre=%s epoch=%d", settings.vm().dataCentre(), epoch);
         Thread.ofPlatform().name("decider-" + epoch).daemon().start(this::processEvents);
     }
 
-    private static Optional<Attempt> recoveredAttempt(RequestState entry) {
-        return Optional.ofNullable(entry.intent()).map(intent -> new Attempt(intent.attempt(), intent.members(), 0));
+    private static Optional<Attempt> recoveredAttempt(RequestState recorded) {
+        return Optional.ofNullable(recorded.intent()).map(intent -> new Attempt(intent.attempt(), intent.members(), 0));
     }
 
     long epoch() {
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/RequestService.java
@@ -117,9 +117,9 @@
                     "have an operator publish the account");
         }
         String payloadHash = payloadHash(submit);
-        RequestState entry = replica.directory().requestByKey(submit.account(), submit.key());
-        if (entry != null) {
-            return replyToDuplicate(entry, payloadHash);
+        RequestState recorded = replica.directory().requestByKey(submit.account(), submit.key());
+        if (recorded != null) {
+            return replyToDuplicate(recorded, payloadHash);
         }
         Request request = newRequest(current, submit, profile);
         if (replica.isAvailable()) {
@@ -177,8 +177,8 @@
     }
 
     /** Returns the status of the request that the key was first used for, or a conflict if the content differs. */
-    private Message replyToDuplicate(RequestState entry, String payloadHash) {
-        return entry.payloadHash().equals(payloadHash) ? currentStatus(entry.request()) : keyConflict();
+    private Message replyToDuplicate(RequestState recorded, String payloadHash) {
+        return recorded.payloadHash().equals(payloadHash) ? currentStatus(recorded.request()) : keyConflict();
     }
 
     private static Message keyConflict() {
@@ -189,11 +189,11 @@
     }
 
     private Message find(Message.Find find, long deadline) {
-        long giveUpAt = Math.min(deadline, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(find.waitMillis()));
+        long waitDeadline = Math.min(deadline, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(find.waitMillis()));
         while (true) {
             Message known = statusOrRedirect(find.request());
             boolean waiting = known instanceof Message.Status status && status.outcome() == null;
-            long remaining = giveUpAt - System.nanoTime();
+            long remaining = waitDeadline - System.nanoTime();
             if (!waiting || draining || remaining <= 0) {
                 return known;
             }
@@ -203,28 +203,28 @@
 
     /** Returns the status of the request if this scheduler knows it, or else where to ask for it. */
     private Message statusOrRedirect(String id) {
-        RequestState entry = replica.directory().request(id);
+        RequestState recorded = replica.directory().request(id);
         LeaderTerm current = leaderTerm.get();
         Job job = current == null ? null : current.state().job(id).orElse(null);
         if (job != null) {
             return currentStatus(job.request());
         }
-        if (entry == null) {
+        if (recorded == null) {
             Request accepted = locallyAccepted.findById(id);
             return accepted == null ? notFound(id) : currentStatus(accepted);
         }
-        boolean elsewhere = entry.outcome() == null
+        boolean elsewhere = recorded.outcome() == null
                 && outcomes.getIfPresent(id) == null
-                && (current == null || !entry.home().equals(settings.vm().dataCentre()));
-        return elsewhere ? redirectTo(entry.home()) : currentStatus(entry.request());
+                && (current == null || !recorded.home().equals(settings.vm().dataCentre()));
+        return elsewhere ? redirectTo(recorded.home()) : currentStatus(recorded.request());
     }
 
     /** Returns the status of a known request. Without an outcome and a current job it is reported as queued. */
     private Message currentStatus(Request request) {
-        RequestState entry = replica.directory().request(request.id());
+        RequestState recorded = replica.directory().request(request.id());
         Outcome outcome = outcomes.getIfPresent(request.id());
-        if (outcome == null && entry != null) {
-            outcome = entry.outcome();
+        if (outcome == null && recorded != null) {
+            outcome = recorded.outcome();
         }
         if (outcome != null) {
             return status(request, outcome.statusName(), outcome);
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/Scheduler.java
@@ -58,7 +58,8 @@
     private final Explanations explanations = new Explanations();
     private final AtomicReference<LeaderTerm> leaderTerm = new AtomicReference<>();
 
-    // Half of the least value, so that the time since then doesn't overflow.
+    // Initially in the distant past; half of the least value, so that the difference to the current time cannot
+    // overflow.
     private final AtomicLong permitRenewedAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
 
     // Unique name of this process, as holder of the leadership and as writer on the log.
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/TargetSession.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/TargetSession.java
@@ -161,7 +161,10 @@
         }
     }
 
-    /** Asks the target once to hold the place, beyond the reservation's deadline, and reports whether it does. */
+    /**
+     * Asks the target once to reserve the place, and reports whether it does. The reservation outlasts the deadline for
+     * the answer, since the start is sent only after all targets of the attempt have answered.
+     */
     private void reserve(Command.Reserve reserve) {
         boolean granted = tryCall(() -> client.reserve(
                 target,
--- a/acacia-scheduler/src/main/java/org/acaciaport/scheduler/package-info.java
+++ b/acacia-scheduler/src/main/java/org/acaciaport/scheduler/package-info.java
@@ -10,5 +10,9 @@
  *       {@link org.acaciaport.scheduler.TargetSession} for each target.
  *   <li>{@link org.acaciaport.scheduler.RequestService} answers queries from other programs.
  * </ul>
+ *
+ * <p>A <i>term</i> is the time in which one scheduler leads a data centre without interruption. Terms are numbered by
+ * their <i>epoch</i>, which is a fencing token: targets refuse calls that carry an older epoch, and replay voids
+ * intents that do.
  */
 package org.acaciaport.scheduler;
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinPlatform.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinPlatform.java
@@ -27,11 +27,11 @@
     /** Offset of the oldest entry that has not expired. */
     private long firstOffset;
 
-    /** The answer to an append: the offset of its first record. */
+    /** The response to an append: the offset of its first record. */
     record Appended(long offset) {}
 
     /**
-     * The answer to a read.
+     * The response to a read.
      *
      * @param entries the entries, in order of offset
      * @param first lowest offset that the log still keeps
@@ -45,7 +45,7 @@
     /** The VMs that are about to leave. */
     record Vms(List<Vm> vms) {}
 
-    /** The answer to a call that controls the stand-in. */
+    /** The response to a call that controls the stand-in. */
     record Ok(boolean ok) {}
 
     @Override
