--- a/acacia-core/src/main/java/org/acaciaport/decision/Job.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Job.java
@@ -14,7 +14,7 @@
  * @param sequence number that gives the order of arrival within the data centre; kept when the request is queued again
  * @param phase its phase
  * @param failures number of attempts that ran and failed
- * @param abortedStarts counts the attempts abandoned before any member ran, since the last one that did run
+ * @param abortedStarts number of attempts abandoned before any member ran, since the last one that did run
  * @param avoidedTargets identifiers of the targets on which it is not placed, because they failed or refused it
  * @param startStatus whether any member may have run
  * @param checkpointed whether a checkpoint exists from which it resumes
--- a/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Victims.java
@@ -48,7 +48,7 @@
      * @return the jobs, or an empty list if enough accelerators are free or being revoked already
      */
     static List<Job> select(Draft draft, TargetState target, Job claimant, boolean drain) {
-        // Drains yield to claims of guaranteed accelerators, so these preempt nothing on behalf of a drain.
+        // A claim of guaranteed accelerators goes before drains: it takes what is set aside and preempts only the rest.
         int setAside = drain ? 0 : target.load().setAside();
         int missing = -target.free() - setAside - target.load().revoking();
         if (missing <= 0) {
--- a/acacia-platform/src/main/java/org/acaciaport/platform/TargetClient.java
+++ b/acacia-platform/src/main/java/org/acaciaport/platform/TargetClient.java
@@ -39,7 +39,7 @@
     /**
      * Starts a task. Idempotent: a repeated call for the same place has no further effect.
      *
-     * @param incarnation the expected incarnation of the target; any other refuses
+     * @param incarnation the expected incarnation of the target, which refuses if its own differs
      * @param startBefore deadline of the start, in milliseconds on the target's clock
      * @throws PlatformException if the target refused or did not reply; with kind EXPIRED if the target will never
      *     start the task
@@ -50,7 +50,7 @@
      * Tells the target to checkpoint, throttle or stop a task; a later report shows when that is done. A task that has
      * not been started is reported as not started, and the target refuses a start that arrives later.
      *
-     * @param incarnation the expected incarnation of the target; any other refuses
+     * @param incarnation the expected incarnation of the target, which refuses if its own differs
      * @throws PlatformException if the target refused or did not reply
      */
     void treat(Target target, Place place, Treatment treatment, String incarnation) throws PlatformException;
