--- a/acacia-node/src/main/java/org/acaciaport/node/ConfigurationView.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/ConfigurationView.java
@@ -82,7 +82,10 @@
         return latest;
     }
 
-    /** Returns the moment as of which the configuration is known to be the latest, or null after a reset. */
+    /**
+     * Returns the moment as of which the configuration is known to be the latest; null if the records have not been
+     * read completely yet, initially or after a reset.
+     */
     synchronized ClockReading asOf() {
         return asOf;
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/JobService.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/JobService.java
@@ -97,7 +97,8 @@
         record Refused(String reason) implements Answer {}
 
         /**
-         * The outcome is unknown; the same request may be retried, since requests are idempotent.
+         * The outcome is unknown. The service allows a retry of the same request, since requests are idempotent, but
+         * callers do not retry once their deadline has passed.
          *
          * @param reason why
          */
--- a/acacia-node/src/main/java/org/acaciaport/node/LeaderLogWriter.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/LeaderLogWriter.java
@@ -33,7 +33,10 @@
         this.epoch = epoch;
     }
 
-    /** Fences earlier terms; returns false if a later term has already written or the log did not confirm. */
+    /**
+     * Fences earlier terms; returns false if a later term has already written or the log did not confirm. The term must
+     * not begin in that case.
+     */
     boolean fenceEarlierTerms() {
         ClockReading sent = Clocks.now();
         Append append = new Append(topic, List.of(), new Append.Writer(WRITER, epoch, 0));
@@ -81,7 +84,11 @@
         return true;
     }
 
-    /** Returns the send time of the last append that the log confirmed; this term was the newest then. */
+    /**
+     * Returns the send time of the last append that the log confirmed; this term was the newest then. Before the first
+     * one, returns the send time of the fence whether or not the log confirmed it, or null if none was sent; use the
+     * value only if {@link #fenceEarlierTerms} has returned true.
+     */
     ClockReading lastConfirmed() {
         return lastConfirmed;
     }
--- a/acacia-node/src/main/java/org/acaciaport/node/Replica.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/Replica.java
@@ -134,7 +134,10 @@
         return entry == null || entry.job() == null ? null : entry;
     }
 
-    /** Returns the latest moment at which the replica is known to have been complete; null after a reset. */
+    /**
+     * Returns the latest moment at which the replica is known to have been complete; null if the records have not been
+     * read completely yet, initially or after a reset.
+     */
     synchronized ClockReading asOf() {
         return asOf;
     }
--- a/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
+++ b/acacia-node/src/test/java/org/acaciaport/node/LogAccessTest.java
@@ -150,7 +150,8 @@
 
     /**
      * Guards against holding requests until their deadline during an outage of the log, and then answering that their
-     * outcome is unknown although nothing was written.
+     * outcome is unknown although nothing was written. Callers retry a request that was refused in time, but not one
+     * whose outcome was answered as unknown at its deadline.
      */
     @Test
     void requestsAreRefusedImmediatelyWhileTheLogIsUnreachable() {
@@ -162,7 +163,10 @@
         assertThat(log.calls).isEqualTo(calls);
     }
 
-    /** Guards against delaying retries when only this node is partitioned, since the retry reaches another node. */
+    /**
+     * Guards against callers that wait a second before they retry although only this node is partitioned, so that the
+     * retry would reach another node.
+     */
     @Test
     void callersOfAnIsolatedNodeRetryImmediately() {
         JobService jobService = newJobService(KeyedRecord.tombstone("config"));
--- a/acacia-pool/src/test/java/org/acaciaport/pool/DegradedTargetTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/DegradedTargetTest.java
@@ -62,7 +62,10 @@
         assertThat(fixture.stops).isEmpty();
     }
 
-    /** Guards against late detection: the rate of a run that started without a checkpoint is known after one report. */
+    /**
+     * Guards against detection only after a second report, although the rate of a run that started without a checkpoint
+     * is known after one.
+     */
     @Test
     void aStragglerIsDetectedByItsFirstReport() {
         fixture.addTarget("t1", "r1");
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PoolTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PoolTest.java
@@ -64,7 +64,10 @@
         assertThat(targets).containsExactly("t2", "t3");
     }
 
-    /** Guards against small tasks spread over all racks, which leave no rack to a tight gang without preemption. */
+    /**
+     * Guards against small but long tasks that are spread over all racks, which leave no rack to a tight gang without
+     * preemption.
+     */
     @Test
     void smallTasksFillOneRackBeforeUsingAnother() {
         fixture.addTarget("t1", "r1");
--- a/acacia-pool/src/test/java/org/acaciaport/pool/PreemptionTest.java
+++ b/acacia-pool/src/test/java/org/acaciaport/pool/PreemptionTest.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Guards against the loss of long work without checkpoints to a short urgent task beyond the guarantee of its
-     * account.
+     * Guards against the loss of long work without checkpoints that is nearly done, to a short urgent task beyond the
+     * guarantee of its account.
      */
     @Test
     void preemptionBeyondTheGuaranteeRespectsTheLossBudget() {
