--- a/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/package-info.java
@@ -9,8 +9,8 @@
  *
  * <ul>
  *   <li>A <i>cell</i> is one data centre with the scheduler that leads it.
- *   <li>A <i>unit</i> is one accelerator. Units are <i>idle</i> if no work occupies them, and <i>free</i> if they are
- *       not claimed either.
+ *   <li>A <i>unit</i> is one accelerator; this package uses both words for the same amounts. Units are <i>idle</i> if
+ *       no work occupies them, and <i>free</i> if they are not claimed either.
  *   <li>A <i>job</i> is an unfinished request together with its progress.
  *   <li>An <i>attempt</i> to run a request has one or more <i>members</i>, each on a target of its own; work with
  *       several members is a <i>gang</i>. A member's <i>place</i> is its target and its units there; the target
--- a/acacia-wire/src/main/java/org/acaciaport/wire/Message.java
+++ b/acacia-wire/src/main/java/org/acaciaport/wire/Message.java
@@ -192,7 +192,7 @@
      * @param state one of live, leaving, unreachable and probation
      * @param accelerators the number of its accelerators
      * @param used the number of accelerators in use
-     * @param claimed the number of accelerators set aside for waiting claims
+     * @param claimed the number of accelerators claimed for waiting requests
      * @param tasks the number of requests with work on it
      */
     record TargetLine(String target, String rack, String state, int accelerators, int used, int claimed, int tasks) {}
