--- a/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Claims.java
@@ -100,10 +100,10 @@
         for (Member member : claiming.attempt().members()) {
             TargetState target = draft.fleet().target(member.target());
             if (target == null || !target.isUsable() || target.health().onProbation()) {
-                return "target " + member.target() + " is not in use";
+                return "target " + member.target() + " is out of use";
             }
             if (!stillFits(job, claiming, member, target)) {
-                return "target " + member.target() + " now holds other guarantees";
+                return "target " + member.target() + " has other owners now";
             }
         }
         return null;
--- a/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Deadlines.java
@@ -122,7 +122,7 @@
         if (job == null || job.cancelRequested()) {
             return;
         }
-        draft.note(PART, job, "cancellation requested");
+        draft.note(PART, job, "cancel asked");
         Job cancelled = job.withCancelRequested();
         draft.put(cancelled);
         switch (cancelled.phase()) {
--- a/acacia-core/src/main/java/org/acaciaport/decision/Dispatcher.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Dispatcher.java
@@ -157,7 +157,7 @@
         }
         List<Member> backfill = new DrainPlanner(draft).findBackfill(job);
         if (!backfill.isEmpty()) {
-            start(job, backfill, "backfill", "free places");
+            start(job, backfill, "lent", "free places");
             return true;
         }
         if (job.request().acceptedAt() == draft.now()) {
@@ -165,7 +165,7 @@
                     PART,
                     job,
                     "waits profile=" + job.profile().name()
-                            + " why=no place rejected=free places,guaranteed places,backfill");
+                            + " why=no place rejected=free places,own share,lent places");
         }
         return false;
     }
--- a/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/DrainPlanner.java
@@ -120,7 +120,7 @@
         draft.note(
                 PART,
                 job,
-                "draining targets clearAt=" + best.clearAt() + " waited="
+                "places set aside clearAt=" + best.clearAt() + " waited="
                         + (draft.now() - job.request().acceptedAt()));
         List<Member> members = new Placement(draft, job).membersOn(best.targets());
         new Claims(draft).beginDrain(job, members, deadline);
--- a/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Membership.java
@@ -67,7 +67,7 @@
             } else if (state.load().jobs().isEmpty() || target.accelerators() >= state.capacity()) {
                 fleet = fleet.with(state.with(target));
             } else {
-                draft.note(PART, "target=" + target.id() + " keeps its size why=it has work");
+                draft.note(PART, "target=" + target.id() + " keeps its size until it is empty");
             }
         }
         for (String id : new ArrayList<>(fleet.targets().keySet())) {
@@ -136,7 +136,7 @@
             return;
         }
         draft.changeTarget(id, t -> t.withReachable(false));
-        draft.note(PART, "target=" + id + " lost why=its lease expired");
+        draft.note(PART, "target=" + id + " lost why=its lease lapsed");
         for (String job : target.load().paused()) {
             if (draft.job(job).phase() instanceof Phase.Paused paused) {
                 new PausedJobs(draft).evict(draft.job(job), paused, "target " + id + " was lost");
--- a/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/RunTracker.java
@@ -32,7 +32,7 @@
                 || running.attempt().number() != attempt
                 || !running.members().containsKey(member)
                 || !running.members().get(member).occupiesAccelerators()) {
-            draft.note(PART, "dropped a late or duplicate report, request=" + request + " attempt=" + attempt);
+            draft.note(PART, "dropped a late or doubled report, request=" + request + " attempt=" + attempt);
             return;
         }
         if (state.status() == MemberState.Status.NOT_STARTED && draft.isFromEarlierLeader(running.attempt())) {
@@ -153,7 +153,7 @@
             return;
         }
         if (draft.rules().mayRunAgain(job)) {
-            draft.note(PART, job, "revoked and queued again");
+            draft.note(PART, job, "taken off and queued again");
             draft.enqueue(job);
             return;
         }
@@ -184,7 +184,7 @@
         }
         draft.setRetryBudget(profile, draft.retryBudget(profile).withdraw());
         long delay = draft.policy().retryDelayMillis(job.failures());
-        draft.note(PART, job, "failed, to be retried after ms=" + delay + " why=" + reason);
+        draft.note(PART, job, "failed and retried after ms=" + delay + " why=" + reason);
         draft.defer(job, draft.now() + delay);
     }
 
--- a/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
+++ b/acacia-core/src/main/java/org/acaciaport/decision/Starter.java
@@ -49,7 +49,7 @@
         }
         if (!answer.granted()) {
             String target = reserving.attempt().members().get(answer.member()).target();
-            abandon(job.withRefusalBy(target), reserving.attempt(), "target " + target + " refused the reservation");
+            abandon(job.withRefusalBy(target), reserving.attempt(), "target " + target + " refused to hold a place");
             return;
         }
         Phase.Reserving next =
@@ -115,7 +115,7 @@
      * cancelled.
      */
     void abandon(Job job, Attempt attempt, String why) {
-        draft.note(PART, job, "abandoned attempt=" + attempt.number() + " why=" + why);
+        draft.note(PART, job, "gave up attempt=" + attempt.number() + " why=" + why);
         releasePlaces(job, attempt);
         if (job.cancelRequested()) {
             draft.finish(job, new Outcome.Cancelled(job.mayHaveRun()));
@@ -184,12 +184,12 @@
     /** Returns why {@code attempt} may no longer start, or null if it may. */
     private String startObstacle(Attempt attempt) {
         if (!draft.rules().mayStart(draft.state(), draft.gate(), draft.now())) {
-            return "the permit to start expired";
+            return "the permit to start lapsed";
         }
         for (Member member : attempt.members()) {
             TargetState target = draft.fleet().target(member.target());
             if (!draft.rules().mayStartOn(target)) {
-                return "target " + member.target() + " is not in use";
+                return "target " + member.target() + " is out of use";
             }
         }
         return null;
