--- a/acacia-gateway/src/main/java/org/acaciaport/gateway/SchedulerClients.java
+++ b/acacia-gateway/src/main/java/org/acaciaport/gateway/SchedulerClients.java
@@ -43,7 +43,7 @@
     /** Starts polling the schedulers. */
     void start() {
         clients.forEach((address, client) ->
-                Thread.ofVirtual().name("view-poller-" + address).start(() -> pollViews(address, client)));
+                Thread.ofVirtual().name("look-" + address).start(() -> pollViews(address, client)));
     }
 
     RoutingTable routingTable() {
--- a/acacia-node/src/main/java/org/acaciaport/node/TopicConsumer.java
+++ b/acacia-node/src/main/java/org/acaciaport/node/TopicConsumer.java
@@ -69,7 +69,7 @@
         this.pollSettings = pollSettings;
         currentDelayMillis = pollSettings.delayMillis();
         this.sink = sink;
-        thread = Thread.ofVirtual().name("consume-" + topic).unstarted(this::run);
+        thread = Thread.ofVirtual().name("follow-" + topic).unstarted(this::run);
     }
 
     void start() {
--- a/acacia-standins/src/main/java/org/acaciaport/standins/StandinTargets.java
+++ b/acacia-standins/src/main/java/org/acaciaport/standins/StandinTargets.java
@@ -25,7 +25,7 @@
 
     private final Map<String, StandinTarget> targets = new TreeMap<>();
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(
-            TIMER_THREADS, Thread.ofPlatform().name("target-timer-", 0).daemon().factory());
+            TIMER_THREADS, Thread.ofPlatform().name("tasks-", 0).daemon().factory());
 
     StandinTargets(List<String> ids, int accelerators) {
         for (String id : ids) {
